--- a/packages/entry/src/groups/capacity-log.ts
+++ b/packages/entry/src/groups/capacity-log.ts
@@ -1,48 +1,50 @@
-/** One line whenever the number of serving groups changes, with what it was decided from. */
+/** Logs a line whenever the number of serving groups changes, with the demand and free hosts behind the change. */
 import type { Log } from '../server/log.js';
 import type { FleetDomain, FleetView } from './fleet-view.js';
 import type { ReplicaGroup } from './replica-groups.js';
 import { headState } from './replica-groups.js';
 
-/** Changes of the capacity that are in progress. */
+/** Capacity changes in progress; the fields are logged under their own names. */
 export type CapacityComing = {
-  /** Groups that are being formed. */
+  /** Number of groups that are being formed. */
   readonly forming: number;
-  /** Hosts that are staging a model. */
+  /** Number of hosts that are staging a model. */
   readonly staging: number;
 };
 
-/** Writes the lines. */
+/** Logs changes in the number of open groups per model. */
 export class CapacityLog {
   readonly #log: Log;
-  #last = '';
+  #lastText = '';
 
   constructor(log: Log) {
     this.#log = log;
   }
 
-  /** Logs the open groups outside evacuated failure domains, if their numbers have changed. */
+  /** Logs the numbers of open groups per model outside evacuated failure domains when one of them has changed. */
   note(groups: readonly ReplicaGroup[], fleet: FleetView, coming: CapacityComing): void {
     const { profile, domains, evacuated } = fleet;
-    const notUsed = new Set(evacuated.map(domain => domain.failureDomain));
+    const evacuatedDomains = new Set(evacuated.map(domain => domain.failureDomain));
     const open = groups.filter(group => headState(group) === 'open');
     const usable = open.filter(
-      ({ head }) => head !== undefined && !notUsed.has(head.failureDomain),
+      ({ head }) => head !== undefined && !evacuatedDomains.has(head.failureDomain),
     );
     const text = profile.models
       .map(({ name }) => `${name}:${usable.filter(({ model }) => model === name).length}`)
       .join(',');
-    if (text === this.#last) {
+    if (text === this.#lastText) {
       return;
     }
-    this.#last = text;
-    const shares = profile.models.map(model => `${model.name}:${model.workShare.toFixed(2)}`);
-    const withFree = domains.filter(domain => domain.free.length > 0);
-    const spares = withFree.map(domain => `${domain.fabricDomain}(${sparesOf(domain)})`);
+    this.#lastText = text;
+    const workShares = profile.models.map(model => `${model.name}:${model.workShare.toFixed(2)}`);
+    const domainsWithFreeHosts = domains.filter(domain => domain.free.length > 0);
+    const spares = domainsWithFreeHosts.map(
+      domain => `${domain.fabricDomain}(${describeSpares(domain)})`,
+    );
     this.#log.info('capacity changed', {
       open: text,
       evacuated: open.length - usable.length,
-      demand: shares.join(','),
+      demand: workShares.join(','),
       ...coming,
       free: domains.reduce((sum, domain) => sum + domain.free.length, 0),
       spares: spares.join(' '),
@@ -50,8 +52,8 @@
   }
 }
 
-// Free hosts of a domain by the model that lies on them.
-function sparesOf(domain: FleetDomain): string {
+// Counts the free hosts of a domain by their last or newest staged model, such as "large:3,-:1".
+function describeSpares(domain: FleetDomain): string {
   const counts = new Map<string, number>();
   for (const host of domain.free) {
     const model = host.lastModel ?? host.stagedModels.at(-1) ?? '-';
--- a/packages/entry/src/groups/capacity-value.ts
+++ b/packages/entry/src/groups/capacity-value.ts
@@ -1,75 +1,75 @@
 /**
- * Values the groups of a service: what one more or one less is worth. Pure.
+ * Computes what one replica group more or less of each model of a service is worth. Performs no I/O.
  *
- * The cost of a model rises with the work that each of its groups has to carry. It rises faster than
- * in proportion, because a busy group makes all of its requests late. A failure domain that is cut
- * off has to serve its callers by itself, so each one is valued on its own as well.
+ * The cost of a model grows with the work per group. It grows more than linearly, because an overloaded group
+ * delays all of its requests. A failure domain that is cut off has to serve its callers alone, so each failure
+ * domain adds a cost of its own.
  */
 import type { GroupModel } from '../configuration/serving-configuration.js';
 
 /**
- * How fast the cost rises with the work per group. The mean number of requests that wait in a queue is
- * p^2 / (1 - p) at a load p (M/M/1), which grows there as the power 2 + p / (1 - p) of the load: 4 at two
- * thirds, from where on answers miss their objectives. With a lower exponent large groups get more work each
- * than small ones: with 2, a group of eight hosts 1.6 times that of a group of two (with 4, 1.3 times).
+ * Exponent of the cost over the work per group. In an M/M/1 queue at utilization p, p^2 / (1 - p) requests wait
+ * on average, which grows locally as the power 2 + p / (1 - p) of p: 4 at two thirds, above which answers miss
+ * their objectives. A lower exponent gives large groups more work each than small ones: with 2, a group of eight
+ * hosts gets 1.6 times the work of a group of two; with 4, 1.3 times.
  */
 const COST_EXPONENT = 4;
-/** Cost of a model without any group; costs of served models stay well below 1. */
+/** Cost of a model without any group; the costs of served models stay well below 1. */
 export const UNSERVED_COST = 10;
-/** Groups added to each count, so that few groups have a finite cost. */
+/** Added to the number of groups in the cost of a model, which bounds the cost where there are few groups. */
 const GROUP_OFFSET = 0.25;
-/** The same within one failure domain, where the others help most of the time. */
+/** Offset for the count within one failure domain; larger, because other failure domains usually help out. */
 const DOMAIN_GROUP_OFFSET = 1;
 /**
- * Weight of the failure domains' own costs: the loss of one is rare against ordinary load. With a larger
- * weight, or a smaller offset, groups are dissolved only to balance the failure domains.
+ * Weight of the failure domains' own costs, 0 to 1: the loss of a failure domain is rare compared with ordinary
+ * load. With a larger weight, or a smaller offset, groups are dissolved merely to balance the failure domains.
  */
 const FAILURE_DOMAIN_WEIGHT = 0.2;
-/** Least part of the work that is assumed of a model, 0 to 1: demand may come back. */
-const LEAST_WORK = 0.02;
+/** Lower bound of the share of the work assumed for a model, 0 to 1, since demand may return. */
+const MIN_WORK_SHARE = 0.02;
 
-/** Numbers of groups by model and failure domain, and what they are worth. */
+/** Counts groups by model and failure domain and computes their cost. */
 export class CapacityValue {
-  readonly #work = new Map<string, number>();
+  readonly #workShares = new Map<string, number>();
   readonly #counts = new Map<string, number>();
   readonly #failureDomains: number;
 
-  /** `failureDomains` is the number of failure domains that have hosts. */
+  /** `failureDomains` is the number of failure domains with hosts. */
   constructor(models: readonly GroupModel[], failureDomains: number) {
     this.#failureDomains = Math.max(1, failureDomains);
-    const total = models.reduce((sum, model) => sum + workOf(model), 0);
+    const total = models.reduce((sum, model) => sum + engineTimeOf(model), 0);
     for (const model of models) {
-      const part = total > 0 ? workOf(model) / total : 1 / models.length;
-      this.#work.set(model.name, Math.max(LEAST_WORK, part));
+      const share = total > 0 ? engineTimeOf(model) / total : 1 / models.length;
+      this.#workShares.set(model.name, Math.max(MIN_WORK_SHARE, share));
     }
   }
 
-  /** Groups of a model, in all failure domains. */
+  /** The number of groups of a model in all failure domains. */
   count(model: string): number {
     return this.#counts.get(keyOf(model, '')) ?? 0;
   }
 
-  /** Adds groups of a model; a negative number takes them away. */
+  /** Adds groups of a model; a negative number removes them. */
   add(model: string, failureDomain: string, groups: number): void {
     for (const key of [keyOf(model, ''), keyOf(model, failureDomain)]) {
       this.#counts.set(key, (this.#counts.get(key) ?? 0) + groups);
     }
   }
 
-  /** By how much one more group lowers the cost. */
+  /** The amount by which one more group lowers the cost. */
   gain(model: string, failureDomain: string): number {
-    return this.#difference(model, failureDomain, 0);
+    return this.#costDifference(model, failureDomain, 0);
   }
 
-  /** By how much one group less raises the cost. */
+  /** The amount by which one group less raises the cost. */
   loss(model: string, failureDomain: string): number {
-    return this.#difference(model, failureDomain, -1);
+    return this.#costDifference(model, failureDomain, -1);
   }
 
-  /** The cost of all models. */
+  /** The cost of all models, overall and within each of these failure domains. */
   total(failureDomains: readonly string[]): number {
     let sum = 0;
-    for (const model of this.#work.keys()) {
+    for (const model of this.#workShares.keys()) {
       sum += this.#cost(model, this.count(model));
       for (const failureDomain of failureDomains) {
         sum += this.#domainCost(model, this.#countIn(model, failureDomain));
@@ -78,15 +78,15 @@
     return sum;
   }
 
-  #difference(model: string, failureDomain: string, offset: number): number {
+  #costDifference(model: string, failureDomain: string, offset: number): number {
     const all = this.count(model) + offset;
-    const own = this.#countIn(model, failureDomain) + offset;
+    const local = this.#countIn(model, failureDomain) + offset;
     const overall = this.#cost(model, all) - this.#cost(model, all + 1);
-    return overall + this.#domainCost(model, own) - this.#domainCost(model, own + 1);
+    return overall + this.#domainCost(model, local) - this.#domainCost(model, local + 1);
   }
 
   #cost(model: string, groups: number): number {
-    const work = this.#work.get(model) ?? LEAST_WORK;
+    const work = this.#workShares.get(model) ?? MIN_WORK_SHARE;
     if (groups <= 0) {
       return UNSERVED_COST;
     }
@@ -97,7 +97,7 @@
     if (this.#failureDomains === 1) {
       return 0;
     }
-    const work = (this.#work.get(model) ?? LEAST_WORK) / this.#failureDomains;
+    const work = (this.#workShares.get(model) ?? MIN_WORK_SHARE) / this.#failureDomains;
     const perGroup = work / (Math.max(0, groups) + DOMAIN_GROUP_OFFSET);
     return FAILURE_DOMAIN_WEIGHT * work * Math.pow(perGroup, COST_EXPONENT);
   }
@@ -107,8 +107,8 @@
   }
 }
 
-// Time of the engines that the model's requests take.
-function workOf(model: GroupModel): number {
+// The engine time that the model's requests take, as a relative weight.
+function engineTimeOf(model: GroupModel): number {
   return model.workShare * model.pace;
 }
 
--- a/packages/entry/src/groups/coordinator.ts
+++ b/packages/entry/src/groups/coordinator.ts
@@ -1,4 +1,4 @@
-/** Plans the groups of all engine services while this process holds the lease. */
+/** Plans the replica groups of all services with model engines while this process holds the lease. */
 import type { EngineProfile, Service } from '../configuration/serving-configuration.js';
 import type { HostRegistry } from '../hosts/host-registry.js';
 import type { LeaseTask } from '../lease/lease-task.js';
@@ -9,23 +9,24 @@
 import { MemberProber } from './member-prober.js';
 import { OrderSender } from './order-sender.js';
 
-/** Options of a coordinator. */
+/** Dependencies and settings of a {@link Coordinator}. */
 export type CoordinatorOptions = {
   readonly orders: HostOrders;
   readonly registry: HostRegistry;
   readonly lease: LeaseTask;
-  /** False while too little is known to plan. */
+  /** False while the known state is not sufficient to plan. */
   readonly isReady: () => boolean;
-  /** Models of a service with their shares of the work as measured. */
+  /** The models of a service with their measured shares of the work. */
   readonly profileOf: (service: string) => EngineProfile | undefined;
-  /** For how long hosts have been followed without an interruption, in milliseconds; undefined: not now. */
+  /** How long the hosts have been watched without interruption, in milliseconds; undefined during an interruption. */
   readonly inTouchForMs: () => number | undefined;
+  /** Length of the sliding window over which begun loads are counted, in milliseconds. */
   readonly loadWindowMs: number;
-  /** True before the first request for a service: then loads are quick and do not count. */
+  /** True before the first request for a service: until then loads are fast and are not limited. */
   readonly mayLoadFreely: (service: string) => boolean;
-  /** True while nothing may be sent to hosts of the failure domain. */
+  /** True while no requests may be sent to hosts of the failure domain. */
   readonly isEvacuated: (failureDomain: string) => boolean;
-  /** How long hosts of a service usually stay cold, in milliseconds; 0 where they never are. */
+  /** How long hosts of a service usually stay cold, in milliseconds; 0 when they never are. */
   readonly coldMsOf: (service: string) => number;
   readonly log: Log;
   readonly counters: Counters;
@@ -33,7 +34,7 @@
 
 const PLAN_PERIOD_MS = 100;
 
-/** Makes a plan when something has changed, and every 100 ms; idle without the lease. */
+/** Plans whenever the known hosts change, and every 100 ms; does nothing without the lease. */
 export class Coordinator {
   readonly #options: CoordinatorOptions;
   readonly #sender: OrderSender;
@@ -52,19 +53,19 @@
       log,
       counters,
       changed: () => {
-        this.#planSoon();
+        this.#schedulePlan();
       },
     });
   }
 
-  /** Plans from now on whenever this process holds the lease. */
+  /** Begins to plan whenever this process holds the lease. */
   start(): void {
     const { registry, lease } = this.#options;
     registry.messages.on('changed', () => {
-      this.#planSoon();
+      this.#schedulePlan();
     });
-    // Only the host that holds the lease wakes up to plan: at 195 hosts the timers of the others were
-    // 1,900 wake-ups a second in all.
+    // The timer runs on the lease holder only: with 195 hosts, the timers of the others caused 1,900 wake-ups
+    // per second in total.
     lease.messages.on('taken', () => {
       clearInterval(this.#planTimer);
       this.#planTimer = setInterval(() => {
@@ -76,13 +77,13 @@
     });
   }
 
-  /** Gives no more orders. */
+  /** Stops planning and sending orders. */
   stop(): void {
     this.#stopped = true;
     clearInterval(this.#planTimer);
   }
 
-  /** Looks after the groups of these services, as far as they have model engines. */
+  /** Plans the groups of these services too; services without a model engine are skipped. */
   follow(services: readonly Service[]): void {
     for (const { name, engine } of services) {
       if (engine !== undefined && !this.#groupTasks.has(name)) {
@@ -91,7 +92,7 @@
     }
   }
 
-  /** Asks the members of a group that is said to be lost or slow, if this process leads. */
+  /** Probes the members of a group that was reported as lost or slow, if this process holds the lease. */
   suspect(service: string, name: string): void {
     if (this.#options.lease.term === undefined) {
       return;
@@ -118,7 +119,7 @@
     });
   }
 
-  #planSoon(): void {
+  #schedulePlan(): void {
     if (this.#planPending || this.#stopped || this.#options.lease.term === undefined) {
       return;
     }
--- a/packages/entry/src/groups/evacuated-plan.ts
+++ b/packages/entry/src/groups/evacuated-plan.ts
@@ -1,9 +1,9 @@
 /**
- * Plans for the hosts of evacuated failure domains. Pure.
+ * Plans formations and stagings for the hosts of evacuated failure domains. All functions are pure.
  *
- * Their groups stay formed, so that they serve at once when the evacuation ends. The hosts of a group that
- * breaks there form groups again, valued as all domains together will need them; no group there is
- * dissolved for another. Loads go to the domains in use first.
+ * Their groups stay formed, so that they serve at once when the evacuation ends. When a group breaks there, its
+ * hosts form groups again, chosen by the needs of all failure domains together; no group there is dissolved for
+ * another. Loads go to the domains in use first.
  */
 import type { FleetView } from './fleet-view.js';
 import { valueOf, wholeFleetOf } from './fleet-view.js';
@@ -13,12 +13,12 @@
 import { planCompletions } from './staging-plan.js';
 
 /**
- * Part of the loads left over by the domains in use that evacuated ones may take, 0 to 1. A load lasts for
- * many seconds: if all of them were taken, the domains in use would have to wait after their next loss.
+ * Fraction of the loads left over by the domains in use that evacuated domains may use, 0 to 1. A load lasts many
+ * seconds: if evacuated domains used all of them, the domains in use would have to wait after their next loss.
  */
-const PART_OF_LOADS = 0.5;
+const EVACUATED_LOAD_FRACTION = 0.5;
 
-/** Formations of the free hosts of evacuated failure domains. */
+/** Plans groups of the free hosts of evacuated failure domains. */
 export function planIdleFormations(
   view: FleetView,
   loads: FormationLoads,
@@ -26,15 +26,15 @@
   if (view.evacuated.length === 0) {
     return [];
   }
-  const whole = wholeFleetOf(view);
-  return fillDomains(whole, view.evacuated, valueOf(whole), loads);
+  const allDomains = wholeFleetOf(view);
+  return fillDomains(allDomains, view.evacuated, valueOf(allDomains), loads);
 }
 
-/** Stagings that complete groups there; `loadsLeft` is what the domains in use leave over. */
+/** Plans stagings that complete groups there; `loadsLeft` is the number of loads left over by the domains in use. */
 export function planIdleStagings(view: FleetView, loadsLeft: number): readonly PlannedStaging[] {
   if (view.evacuated.length === 0) {
     return [];
   }
-  const loads = Math.floor(loadsLeft * PART_OF_LOADS);
+  const loads = Math.floor(loadsLeft * EVACUATED_LOAD_FRACTION);
   return planCompletions(wholeFleetOf(view), view.evacuated, loads);
 }
--- a/packages/entry/src/groups/evacuation-days.test.ts
+++ b/packages/entry/src/groups/evacuation-days.test.ts
@@ -1,6 +1,6 @@
 /**
- * Failure domains are evacuated and used again while groups serve: the others serve meanwhile, and the
- * groups of the evacuated one serve at once afterwards.
+ * Plans on a simulated fleet whose failure domains are evacuated and taken back while groups serve: the other
+ * domains continue to serve, and the groups of the evacuated domain serve at once when it is taken back.
  */
 import { expect } from 'chai';
 import fc from 'fast-check';
@@ -9,7 +9,7 @@
 import { FleetModel } from '../testing/fleet-model.js';
 import { FREE_LOADS } from './formation-plan.js';
 
-const KINDS = [
+const WIDE_FLEETS = [
   { domainSize: 18, largeSize: 8, smallSize: 2, largeShare: 0.15 },
   { domainSize: 18, largeSize: 8, smallSize: 2, largeShare: 0.4 },
   { domainSize: 19, largeSize: 8, smallSize: 4, largeShare: 0.15 },
@@ -19,8 +19,8 @@
 const EVACUATION_MS = 8_000;
 const SEED = Number(process.env['HINGESCALE_SEED'] ?? 1);
 
-/** Any fleet with three failure domains of one or two fabric domains each. */
-const ANY_FLEET = fc.record({
+/** Arbitrary fleets with three failure domains of one or two fabric domains each. */
+const FLEET = fc.record({
   domainSize: fc.integer({ min: 4, max: 20 }),
   perFailureDomain: fc.integer({ min: 1, max: 2 }),
   largeSize: fc.integer({ min: 2, max: 8 }),
@@ -28,9 +28,9 @@
   largeShare: fc.double({ min: 0.05, max: 0.95, noNaN: true }),
   losses: fc.array(fc.nat(500), { maxLength: 3 }),
 });
-type AnyFleet = typeof ANY_FLEET extends fc.Arbitrary<infer T> ? T : never;
+type FleetSample = typeof FLEET extends fc.Arbitrary<infer T> ? T : never;
 
-function anyFleet({ domainSize, perFailureDomain, ...models }: AnyFleet): FleetModel {
+function fleetOf({ domainSize, perFailureDomain, ...models }: FleetSample): FleetModel {
   return new FleetModel({
     domainSizes: Array.from({ length: 3 * perFailureDomain }, () => domainSize),
     domainsPerFailureDomain: perFailureDomain,
@@ -39,42 +39,42 @@
   });
 }
 
-function started(fleet: FleetModel): FleetModel {
+function startFleet(fleet: FleetModel): FleetModel {
   fleet.run(6_000, FREE_LOADS);
   fleet.run(6_000);
   return fleet;
 }
 
-/** One group of the large model, in a fleet of three failure domains with eight hosts each. */
+/** A fleet of three failure domains with eight hosts each that forms a single group of the large model. */
 function fleetWithOneLargeGroup(): FleetModel {
   const domains = { domainSizes: [8, 8, 8], domainsPerFailureDomain: 1 };
   const profile = dayProfile(8, 2, 0.05);
-  return started(new FleetModel({ ...domains, coldMs: COLD_MS, profile }));
+  return startFleet(new FleetModel({ ...domains, coldMs: COLD_MS, profile }));
 }
 
-function homeOfLarge(fleet: FleetModel): string {
-  const home = ['z0', 'z1', 'z2'].find(name => fleet.groupsIn(name).length === 1);
-  if (home === undefined) {
-    throw new Error('no failure domain has the large model alone');
+function domainOfLarge(fleet: FleetModel): string {
+  const largeDomain = ['z0', 'z1', 'z2'].find(name => fleet.groupsIn(name).length === 1);
+  if (largeDomain === undefined) {
+    throw new Error('no failure domain has exactly one group, that of the large model');
   }
-  return home;
+  return largeDomain;
 }
 
-describe('plans over days with evacuations', () => {
-  it('bring back a model whose only group stands in the evacuated domain', () => {
+describe('plans with evacuated failure domains over simulated days', () => {
+  it('form a group elsewhere for a model whose only group is in the evacuated domain', () => {
     const fleet = fleetWithOneLargeGroup();
-    const home = homeOfLarge(fleet);
+    const largeDomain = domainOfLarge(fleet);
     expect([fleet.serving('large'), fleet.serving('small')]).to.deep.equal([1, 8]);
-    fleet.evacuate(home);
+    fleet.evacuate(largeDomain);
     expect(fleet.serving('large')).to.equal(0);
     fleet.run(45_000);
     expect(fleet.serving('large')).to.equal(1);
     expect(fleet.serving('small')).to.equal(4);
   });
 
-  it('keep the groups of the evacuated domain, which serve at once when it is taken back', () => {
-    for (const kind of KINDS) {
-      const fleet = started(wideFleet(kind));
+  it('keep the groups of the evacuated domain, so that they serve at once when it is taken back', () => {
+    for (const kind of WIDE_FLEETS) {
+      const fleet = startFleet(wideFleet(kind));
       const before = [fleet.serving('large'), fleet.serving('small')];
       const kept = fleet.groupsIn('z2');
       fleet.evacuate('z2');
@@ -86,9 +86,9 @@
     }
   });
 
-  it('do not tear the layout of the other domains for an evacuation of 8 s', () => {
-    for (const kind of KINDS) {
-      const fleet = started(wideFleet(kind));
+  it('do not dissolve groups of the other domains during an evacuation of 8 s', () => {
+    for (const kind of WIDE_FLEETS) {
+      const fleet = startFleet(wideFleet(kind));
       fleet.evacuate('z1');
       fleet.run(EVACUATION_MS);
       fleet.takeBack('z1');
@@ -97,32 +97,32 @@
     }
   });
 
-  it('dissolve nothing in an evacuated domain, and nothing elsewhere while its hosts are cold', () => {
+  it('dissolve no group in an evacuated domain, and none elsewhere while its hosts are cold', () => {
     fc.assert(
-      fc.property(ANY_FLEET, given => {
-        const fleet = started(anyFleet(given));
+      fc.property(FLEET, sample => {
+        const fleet = startFleet(fleetOf(sample));
         fleet.evacuate('z0');
-        const there = fleet.groupsIn('z0');
+        const evacuatedGroups = fleet.groupsIn('z0');
         fleet.run(EVACUATION_MS);
-        given.losses.forEach(loss => {
+        sample.losses.forEach(loss => {
           fleet.lose(loss);
           fleet.run(2_000);
         });
         fleet.run(COLD_MS);
-        expect(fleet.dissolved.filter(name => there.includes(name))).to.deep.equal([]);
-        const dissolved = fleet.dissolved.length;
+        expect(fleet.dissolved.filter(name => evacuatedGroups.includes(name))).to.deep.equal([]);
+        const dissolvedCount = fleet.dissolved.length;
         const allServed = fleet.serving('large') > 0 && fleet.serving('small') > 0;
         fleet.takeBack('z0');
         fleet.run(COLD_MS - 1);
-        expect(!allServed || fleet.dissolved.length === dissolved).to.equal(true);
+        expect(!allServed || fleet.dissolved.length === dissolvedCount).to.equal(true);
       }),
       { seed: SEED, numRuns: 40 },
     );
   });
 
-  it('form groups anew that break in an evacuated domain, ready for its return', () => {
-    for (const kind of KINDS) {
-      const fleet = started(wideFleet(kind));
+  it('form new groups in an evacuated domain after one of its groups has broken', () => {
+    for (const kind of WIDE_FLEETS) {
+      const fleet = startFleet(wideFleet(kind));
       const before = fleet.groupsIn('z2').length;
       fleet.evacuate('z2');
       fleet.loseIn('z2');
@@ -133,8 +133,8 @@
     }
   });
 
-  it('serve with the last domain while the two others are evacuated', () => {
-    const fleet = started(wideFleet(KINDS[0] as (typeof KINDS)[number]));
+  it('serve both models in the last domain while the two others are evacuated', () => {
+    const fleet = startFleet(wideFleet(WIDE_FLEETS[0] as (typeof WIDE_FLEETS)[number]));
     fleet.evacuate('z0');
     fleet.evacuate('z1');
     fleet.run(20_000);
@@ -142,17 +142,18 @@
     expect(fleet.serving('small')).to.be.at.least(4);
   });
 
-  it('go on as if nothing were evacuated once every domain is', () => {
+  it('continue as if no domain were evacuated when all of them are', () => {
     const fleet = fleetWithOneLargeGroup();
-    const home = homeOfLarge(fleet);
+    const largeDomain = domainOfLarge(fleet);
     ['z0', 'z1', 'z2'].forEach(name => {
       fleet.evacuate(name);
     });
-    fleet.loseIn(home);
+    fleet.loseIn(largeDomain);
     fleet.run(90_000);
-    expect(fleet.groupsIn(home).length, 'small groups in place of the broken one').to.be.at.least(
-      3,
-    );
+    expect(
+      fleet.groupsIn(largeDomain).length,
+      'small groups in place of the broken one',
+    ).to.be.at.least(3);
     ['z0', 'z1', 'z2'].forEach(name => {
       fleet.takeBack(name);
     });
--- a/packages/entry/src/groups/fabric-domain.ts
+++ b/packages/entry/src/groups/fabric-domain.ts
@@ -1,14 +1,17 @@
-/** Fabric domains of hosts. Pure. */
+/** Determines the fabric domains of hosts. All functions are pure. */
 import type { DomainHost } from '@hingescale/core';
 
 import type { DepartedHost, HostEntry } from '../hosts/host-entry.js';
 
-/** Name of the fabric domain of a host; hosts that tell none share their failure domain. */
+/** The fabric domain of a host; hosts that report none are grouped by their failure domain. */
 export function fabricDomainOf(host: HostEntry): string {
   return host.fabricDomain ?? host.failureDomain;
 }
 
-/** Present and departed hosts with their domains, for the rules that look at a domain as a whole. */
+/**
+ * Present and departed hosts with their fabric domains, for rules that apply to a whole domain. `now` is in
+ * monotonic milliseconds.
+ */
 export function domainHosts(
   hosts: readonly HostEntry[],
   departed: readonly DepartedHost[],
--- a/packages/entry/src/groups/fleet-days.test.ts
+++ b/packages/entry/src/groups/fleet-days.test.ts
@@ -1,4 +1,4 @@
-/** The plans over whole days of a small model of the hosts: they always make progress. */
+/** Plans over days of a simulated fleet: every model that fits is served, and few hosts stay idle. */
 import { expect } from 'chai';
 import fc from 'fast-check';
 
@@ -9,7 +9,7 @@
 
 const LOAD_MS = 12_000;
 
-/** Any deployment: sizes that divide nothing, uneven domains, few loads, some hosts staged. */
+/** A random deployment: group sizes that divide no domain size, uneven domains, few loads, some hosts staged. */
 type Deployment = {
   readonly sizes: readonly number[];
   readonly shares: readonly number[];
@@ -19,10 +19,7 @@
   readonly losses: readonly number[];
 };
 
-/**
- * Where the draws of deployments begin: the same at each run, so that a verdict can be repeated; another
- * one explores further.
- */
+/** Seed of the random deployments: fixed by default, so that results can be reproduced; others explore further. */
 const SEED = Number(process.env['HINGESCALE_SEED'] ?? 1);
 
 const DEPLOYMENT: fc.Arbitrary<Deployment> = fc.record({
@@ -36,11 +33,11 @@
 
 const ALL_STAGED = { shares: [1, 1, 1, 1], loadsAtOnce: 1, staged: [0], losses: [] };
 
-/** Deployments on which the larger model was once never served. */
+/** Deployments on which the larger model was never served in the past. */
 const ONCE_UNSERVED: readonly Deployment[] = [
-  // Needs more groups dissolved at once than a small gain is worth.
+  // Requires dissolving more groups at once than are dissolved for a small gain.
   { ...ALL_STAGED, sizes: [1, 5], domainSizes: [5, 5] },
-  // Needs the host that waits beside a group with a copy of the other model.
+  // Requires the free host beside a group, which has a copy of the other model.
   { ...ALL_STAGED, sizes: [3, 4], domainSizes: [4, 4] },
 ];
 
@@ -67,13 +64,13 @@
   });
 }
 
-/** Time in which every host could load something, one after the other. */
-function boundMs(deployment: Deployment, hosts: number): number {
+/** Time in which every host can complete a load, in milliseconds. */
+function maxLoadTimeMs(deployment: Deployment, hosts: number): number {
   return (hosts * LOAD_MS) / deployment.loadsAtOnce + 4 * LOAD_MS;
 }
 
-/** A day with a loss every three seconds; some hosts are replaced after a while. */
-function playDay(fleet: FleetModel, seed: number): void {
+/** Simulates a day with a loss every three seconds; some of the lost hosts are replaced later. */
+function simulateDay(fleet: FleetModel, seed: number): void {
   fleet.run(6_000, FREE_LOADS);
   for (let loss = 0; loss < 9; loss++) {
     fleet.run(3_000);
@@ -85,7 +82,7 @@
   fleet.run(15_000);
 }
 
-/** Wide fleets: whole fabric domains are of use with the first, three of 19 hosts wait with the second. */
+/** With domains of 18 hosts groups can use all of them; with domains of 19 hosts, three stay free. */
 const WIDE_FLEETS = [
   { domainSize: 18, largeSize: 8, smallSize: 2, largeShare: 0.4 },
   { domainSize: 18, largeSize: 8, smallSize: 2, largeShare: 0.15 },
@@ -95,22 +92,22 @@
 
 const DAY_FLEET = { domainSizes: [8, 8, 8, 8, 8, 8], domainsPerFailureDomain: 2 };
 
-describe('plans over days of a model fleet', () => {
-  it('serve every model that has a fabric domain to itself, whatever the sizes and loads', () => {
+describe('plans over days of a simulated fleet', () => {
+  it('serve every model if there are as many large enough fabric domains as models', () => {
     fc.assert(
       fc.property(DEPLOYMENT, deployment => {
         const fleet = fleetOf(deployment);
         const largest = Math.max(...deployment.sizes);
-        const fitting = deployment.domainSizes.filter(
+        const fittingDomains = deployment.domainSizes.filter(
           size => size - deployment.losses.length >= largest,
         );
-        fc.pre(fitting.length >= deployment.sizes.length);
+        fc.pre(fittingDomains.length >= deployment.sizes.length);
         fleet.run(5_000);
         for (const loss of deployment.losses) {
           fleet.lose(loss);
           fleet.run(2_000);
         }
-        fleet.run(boundMs(deployment, fleet.hostCount));
+        fleet.run(maxLoadTimeMs(deployment, fleet.hostCount));
         deployment.sizes.forEach((_, index) => {
           expect(fleet.serving(`m${index}`), `groups of m${index}`).to.be.at.least(1);
         });
@@ -119,7 +116,7 @@
     );
   });
 
-  it('serve a model that needs 15 of the 16 hosts of a domain beside one that needs 8', () => {
+  it('serve a model that needs 15 of the 16 hosts of a domain besides one that needs 8', () => {
     const fleet = fleetOf({
       sizes: [8, 15],
       shares: [1, 1],
@@ -134,11 +131,11 @@
     expect(fleet.serving('m1')).to.be.at.least(1);
   });
 
-  it('leave no hosts idle that could form a group after loads', () => {
+  it('leave no hosts idle that could form a group after further loads', () => {
     fc.assert(
       fc.property(DEPLOYMENT, deployment => {
         const fleet = fleetOf(deployment);
-        for (let look = 0; look < 15; look++) {
+        for (let step = 0; step < 15; step++) {
           fleet.run(3_000);
           if (fleet.isQuiet) {
             expect(fleet.mostFree).to.be.lessThan(Math.min(...deployment.sizes));
@@ -149,10 +146,10 @@
     );
   });
 
-  it('keep most of the host time in serving groups on a day with many losses', () => {
+  it('spend most of the host time in serving groups on a day with many losses', () => {
     for (const seed of [1, 2, 3, 4, 5]) {
       const fleet = new FleetModel({ ...DAY_FLEET, profile: dayProfile(4, 2) });
-      playDay(fleet, seed);
+      simulateDay(fleet, seed);
       const ratio = fleet.servingHostMs / fleet.possibleHostMs;
       expect(ratio, `seed ${seed}`).to.be.at.least(0.85);
       expect(fleet.unservedMs.get('large'), `seed ${seed}`).to.be.at.most(3_000);
@@ -163,7 +160,7 @@
     for (const kind of WIDE_FLEETS) {
       for (const seed of [1, 2, 3]) {
         const fleet = wideFleet(kind);
-        playDay(fleet, seed);
+        simulateDay(fleet, seed);
         const name = `${kind.domainSize} hosts, seed ${seed}`;
         expect(fleet.strandedHostMs / fleet.hostMs, name).to.be.at.most(0.05);
         expect(fleet.servingHostMs / fleet.possibleHostMs, name).to.be.at.least(0.85);
@@ -176,7 +173,7 @@
   it('do not give up a large model for many groups of a small one', () => {
     for (const seed of [1, 2, 3, 4, 5]) {
       const fleet = new FleetModel({ ...DAY_FLEET, profile: dayProfile(5, 3) });
-      playDay(fleet, seed);
+      simulateDay(fleet, seed);
       expect(fleet.serving('large'), `seed ${seed}`).to.be.at.least(3);
     }
   });
--- a/packages/entry/src/groups/fleet-picture.test.ts
+++ b/packages/entry/src/groups/fleet-picture.test.ts
@@ -29,53 +29,53 @@
   return domain;
 }
 
-function namesOf(domain: FleetDomain): readonly string[] {
+function freeIdsOf(domain: FleetDomain): readonly string[] {
   return domain.free.map(host => host.id);
 }
 
-describe('fleet picture', () => {
+describe('fleet view', () => {
   const open = [member('h', 0, 'open'), member('x', 1, 'ready'), testHost('spare')];
 
-  it('tells free hosts from those in groups', () => {
+  it('separates free hosts from hosts in groups', () => {
     const domain = domainOf(open);
-    expect(namesOf(domain)).to.deep.equal(['spare']);
+    expect(freeIdsOf(domain)).to.deep.equal(['spare']);
     expect(domain.groups.map(group => group.dissolvable)).to.deep.equal([true]);
   });
 
-  it('does not count on a group whose head does not answer', () => {
+  it('leaves out a group whose head does not answer', () => {
     expect(domainOf(open, { silent: new Map([['h', 0]]) }).groups).to.deep.equal([]);
   });
 
-  it('does not dissolve a group that lacks a member', () => {
+  it('does not allow a group with a silent member to be dissolved', () => {
     const silent = new Map([['x', 0]]);
     expect(domainOf(open, { silent }).groups[0]?.dissolvable).to.equal(false);
   });
 
-  it('keeps the hosts of a domain for the group that another is dissolved for', () => {
+  it('reserves the free hosts of a domain while one of its groups is being dissolved', () => {
     const domain = domainOf(open, { dissolving: new Map([['g', 0]]) });
-    expect(namesOf(domain)).to.deep.equal([]);
+    expect(freeIdsOf(domain)).to.deep.equal([]);
     expect(domain.groups).to.deep.equal([]);
   });
 
   it('leaves out evacuated failure domains, with their groups and free hosts', () => {
     const other = testHost('other', { failureDomain: 'b', fabricDomain: 'd1' });
     const hosts = [...open, other];
-    const pictureOf = (...evacuated: string[]): FleetView => {
-      const beliefs = testBeliefs({ evacuatedDomains: new Set(evacuated) });
-      return fleetViewOf(hosts, replicaGroups(hosts), PROFILE, beliefs);
+    const viewOf = (...evacuated: string[]): FleetView => {
+      const known = testBeliefs({ evacuatedDomains: new Set(evacuated) });
+      return fleetViewOf(hosts, replicaGroups(hosts), PROFILE, known);
     };
-    const view = pictureOf('a');
-    expect(view.domains.flatMap(namesOf)).to.deep.equal(['other']);
-    expect(view.evacuated.flatMap(namesOf)).to.deep.equal(['spare']);
+    const view = viewOf('a');
+    expect(view.domains.flatMap(freeIdsOf)).to.deep.equal(['other']);
+    expect(view.evacuated.flatMap(freeIdsOf)).to.deep.equal(['spare']);
     expect(view.evacuated[0]?.groups.map(group => group.name)).to.deep.equal(['g']);
-    expect(pictureOf('a', 'b').domains, 'all evacuated: as if none were').to.have.length(2);
-    expect(pictureOf('c').evacuated).to.deep.equal([]);
+    expect(viewOf('a', 'b').domains, 'all evacuated: as if none were').to.have.length(2);
+    expect(viewOf('c').evacuated).to.deep.equal([]);
   });
 
-  it('takes hosts of a formation as its own, whatever their entries still name', () => {
+  it('counts the hosts of a formation as its members, whatever group their entries name', () => {
     const heads = new Map([['g', { host: open[0] as HostEntry, missingSince: 0, left: true }]]);
     const left = [member('x', 1, 'ready'), testHost('spare')];
-    expect(namesOf(domainOf(left, { heads }))).to.deep.equal(['x', 'spare']);
+    expect(freeIdsOf(domainOf(left, { heads }))).to.deep.equal(['x', 'spare']);
     const formation = {
       group: 'n',
       epoch: 2,
@@ -86,7 +86,7 @@
       deadline: 1,
     };
     const domain = domainOf(left, { heads, formations: new Map([['n', formation]]) });
-    expect(namesOf(domain)).to.deep.equal([]);
+    expect(freeIdsOf(domain)).to.deep.equal([]);
     expect(domain.groups.map(group => group.name)).to.deep.equal(['n']);
   });
 });
--- a/packages/entry/src/groups/fleet-picture.ts
+++ b/packages/entry/src/groups/fleet-picture.ts
@@ -1,4 +1,4 @@
-/** Draws the picture that plans start from, out of entries of hosts and beliefs. Pure. */
+/** Builds the planning view from the hosts' entries and the observed state of groups. All functions are pure. */
 import type { EngineProfile } from '../configuration/serving-configuration.js';
 import type { HostEntry } from '../hosts/host-entry.js';
 import { fabricDomainOf } from './fabric-domain.js';
@@ -9,82 +9,83 @@
 import type { ReplicaGroup } from './replica-groups.js';
 import { headState } from './replica-groups.js';
 
-type Draft = {
+/** A {@link FleetDomain} while its hosts and groups are being collected. */
+type MutableDomain = {
   readonly fabricDomain: string;
   readonly failureDomain: string;
   readonly free: HostEntry[];
   readonly groups: PlacedGroup[];
 };
 
-/** The fleet of one service. */
+/** Builds the planning view of one service. */
 export function fleetViewOf(
   hosts: readonly HostEntry[],
   groups: readonly ReplicaGroup[],
   profile: EngineProfile,
-  beliefs: GroupBeliefs,
+  known: GroupBeliefs,
 ): FleetView {
-  const drafts = new Map<string, Draft>();
-  const waiting = new Set<string>();
-  const placed = [
-    ...groups.flatMap(group => placedGroup(group, beliefs) ?? []),
-    ...formingGroups(beliefs, hosts),
+  const domains = new Map<string, MutableDomain>();
+  const reservedDomains = new Set<string>();
+  const placedGroups = [
+    ...groups.flatMap(group => placedGroup(group, known) ?? []),
+    ...formingGroups(known, hosts),
   ];
-  for (const group of placed) {
+  for (const group of placedGroups) {
     const [anyMember] = group.members;
     if (anyMember !== undefined) {
-      draftOf(drafts, anyMember).groups.push(group);
+      mutableDomainOf(domains, anyMember).groups.push(group);
     }
   }
   for (const { name, members } of groups) {
     const anyMember = members.find(member => member !== undefined);
-    if (beliefs.dissolving.has(name) && anyMember !== undefined) {
-      waiting.add(fabricDomainOf(anyMember));
+    if (known.dissolving.has(name) && anyMember !== undefined) {
+      reservedDomains.add(fabricDomainOf(anyMember));
     }
   }
-  const awaited = awaitedHosts(beliefs);
+  const awaited = awaitedHosts(known);
   for (const host of hosts) {
-    const draft = draftOf(drafts, host);
-    // The hosts of a domain wait for those of a group that is being dissolved for them.
-    if (isFree(host, beliefs, awaited) && !waiting.has(draft.fabricDomain)) {
-      draft.free.push(host);
+    const domain = mutableDomainOf(domains, host);
+    // Free hosts are reserved until the hosts of a group that is being dissolved in their domain can join them.
+    if (isFree(host, known, awaited) && !reservedDomains.has(domain.fabricDomain)) {
+      domain.free.push(host);
     }
   }
-  const stagingNow = (id: string): string | undefined => beliefs.stagings.get(id)?.model;
+  const stagingNow = (id: string): string | undefined => known.stagings.get(id)?.model;
   return {
     profile,
-    ...dividedByUse([...drafts.values()], beliefs.evacuatedDomains),
-    isReturning: beliefs.isReturning,
-    lapsed: beliefs.lapsedDomains,
+    ...dividedByUse([...domains.values()], known.evacuatedDomains),
+    isReturning: known.isReturning,
+    lapsed: known.lapsedDomains,
     stagingNow,
-    slow: beliefs.slow,
+    slow: known.slow,
   };
 }
 
-function draftOf(drafts: Map<string, Draft>, host: HostEntry): Draft {
+function mutableDomainOf(domains: Map<string, MutableDomain>, host: HostEntry): MutableDomain {
   const fabricDomain = fabricDomainOf(host);
-  let draft = drafts.get(fabricDomain);
-  if (draft === undefined) {
-    draft = { fabricDomain, failureDomain: host.failureDomain, free: [], groups: [] };
-    drafts.set(fabricDomain, draft);
+  let domain = domains.get(fabricDomain);
+  if (domain === undefined) {
+    domain = { fabricDomain, failureDomain: host.failureDomain, free: [], groups: [] };
+    domains.set(fabricDomain, domain);
   }
-  return draft;
+  return domain;
 }
 
-// A group whose head does not answer, or has left, is not counted on.
-function placedGroup(group: ReplicaGroup, beliefs: GroupBeliefs): PlacedGroup | undefined {
+// Returns undefined for a group whose head is missing, does not answer, or has left: it does not count.
+function placedGroup(group: ReplicaGroup, known: GroupBeliefs): PlacedGroup | undefined {
   const { name, model, head } = group;
-  if (head === undefined || model === undefined || beliefs.formations.has(name)) {
+  if (head === undefined || model === undefined || known.formations.has(name)) {
     return undefined;
   }
-  const isEnding = isReleased(name, beliefs) || beliefs.dissolving.has(name);
-  if (isEnding || beliefs.silent.has(head.id)) {
+  const isEnding = isReleased(name, known) || known.dissolving.has(name);
+  if (isEnding || known.silent.has(head.id)) {
     return undefined;
   }
   const members = group.members.filter(member => member !== undefined);
-  const sound = (host: HostEntry): boolean =>
-    host.accepting && !beliefs.silent.has(host.id) && !beliefs.busy.has(host.id);
-  const whole = members.length === group.members.length && members.every(sound);
-  const dissolvable = whole && headState(group) === 'open' && !beliefs.justBack.has(head.id);
+  const isUsable = (host: HostEntry): boolean =>
+    host.accepting && !known.silent.has(host.id) && !known.busy.has(host.id);
+  const isComplete = members.length === group.members.length && members.every(isUsable);
+  const dissolvable = isComplete && headState(group) === 'open' && !known.justBack.has(head.id);
   return { name, model, members, dissolvable };
 }
 
@@ -92,10 +93,10 @@
   { formations }: GroupBeliefs,
   hosts: readonly HostEntry[],
 ): readonly PlacedGroup[] {
-  const placeOf = new Map(hosts.map(({ id }, index) => [id, index]));
+  const indexOf = new Map(hosts.map(({ id }, index) => [id, index]));
   return [...formations.values()].map(({ group, model, members }) => {
-    const places = members.flatMap(id => placeOf.get(id) ?? []).sort((a, b) => a - b);
-    const present = places.flatMap(place => hosts[place] ?? []);
+    const indexes = members.flatMap(id => indexOf.get(id) ?? []).sort((a, b) => a - b);
+    const present = indexes.flatMap(index => hosts[index] ?? []);
     return { name: group, model, members: present, dissolvable: false };
   });
 }
--- a/packages/entry/src/groups/fleet-view.ts
+++ b/packages/entry/src/groups/fleet-view.ts
@@ -1,19 +1,19 @@
-/** The hosts of a service as the plans see them: by fabric domain, free or in a group. Pure. */
+/** The planning view of a service: its hosts by fabric domain, each free or in a group. All functions are pure. */
 import type { EngineProfile, GroupModel } from '../configuration/serving-configuration.js';
 import type { HostEntry } from '../hosts/host-entry.js';
 import { CapacityValue } from './capacity-value.js';
 
-/** A group that serves or forms. */
+/** A replica group that serves or is being formed. */
 export type PlacedGroup = {
   readonly name: string;
   readonly model: string;
-  /** Members as far as their entries are there, head first. */
+  /** The members that have an entry, head first. */
   readonly members: readonly HostEntry[];
-  /** It serves, is whole, and its head can be told to leave. */
+  /** The group serves, all its members are present, and its head can be ordered to leave. */
   readonly dissolvable: boolean;
 };
 
-/** One fabric domain. */
+/** A fabric domain with its free hosts and its groups. */
 export type FleetDomain = {
   readonly fabricDomain: string;
   readonly failureDomain: string;
@@ -21,40 +21,40 @@
   readonly groups: readonly PlacedGroup[];
 };
 
-/** What plans start from. */
+/** The input of all plans: the models of a service and its hosts by fabric domain. */
 export type FleetView = {
   readonly profile: EngineProfile;
-  /** Fabric domains that may be used. */
+  /** Fabric domains that plans may use. */
   readonly domains: readonly FleetDomain[];
-  /** Fabric domains of evacuated failure domains: their groups and hosts are not counted meanwhile. */
+  /** Fabric domains of evacuated failure domains; their groups and hosts do not count during the evacuation. */
   readonly evacuated: readonly FleetDomain[];
   /**
-   * A failure domain has just come back into use and its hosts may be cold: its groups count, but no other
-   * groups are dissolved because of them.
+   * True when the evacuation of a failure domain has just ended, so that its hosts may be cold: its groups count,
+   * but no other groups are dissolved because of them.
    */
   readonly isReturning: boolean;
-  /** Fabric domains whose hosts are coming back one after the other, or were a moment ago. */
+  /** Fabric domains whose entries are returning one by one after an interruption, or were until recently. */
   readonly lapsed: ReadonlySet<string>;
-  /** Model that a host is staging. */
+  /** The model that a host is staging; undefined when it stages none. */
   readonly stagingNow: (hostId: string) => string | undefined;
-  /** Hosts that are slow: a group runs at the pace of its slowest member. */
+  /** Ids of slow hosts; a group runs at the pace of its slowest member. */
   readonly slow: ReadonlySet<string>;
 };
 
-/** Time of a join that needs no load, in milliseconds (from the platform's protocol). */
+/** Time that a host needs to join a group of its last model, in milliseconds (from the platform's protocol). */
 export const REJOIN_MS = 200;
 
-/** Time until a host is ready for a model without a load; undefined when it has to load. */
+/** Time until a host is ready for a model without a load, in milliseconds; undefined when it has to load. */
 export function warmMsOf(host: HostEntry, model: GroupModel, view: FleetView): number | undefined {
   if (host.lastModel === model.name) {
     return REJOIN_MS;
   }
-  // A join that needs the staged copy waits for a staging that is under way.
+  // A join that needs the staged copy has to wait for a staging in progress on the same host.
   const staged = host.stagedModels.includes(model.name);
   return staged && view.stagingNow(host.id) === undefined ? model.warmMs : undefined;
 }
 
-/** True when a host is ready for a model without a load, or will be after its staging. */
+/** True when a host is ready for a model without a load, or will be once its staging in progress is done. */
 export function willHave(host: HostEntry, model: GroupModel, view: FleetView): boolean {
   const staging = view.stagingNow(host.id);
   if (host.lastModel === model.name || staging === model.name) {
@@ -63,20 +63,20 @@
   return staging === undefined && host.stagedModels.includes(model.name);
 }
 
-/** The names of all failure domains. */
+/** The distinct failure domains of these fabric domains. */
 export function failureDomainsOf(domains: readonly FleetDomain[]): readonly string[] {
   return [...new Set(domains.map(domain => domain.failureDomain))];
 }
 
-/** The fleet as it will be once no failure domain is evacuated any more. */
+/** The view as it would be without any evacuation: evacuated fabric domains are added to those in use. */
 export function wholeFleetOf(view: FleetView): FleetView {
   return { ...view, domains: [...view.domains, ...view.evacuated], evacuated: [] };
 }
 
 /**
- * Divides fabric domains into those that may be used and those that are evacuated. Where all are
- * evacuated, plans go on as if none were: no other domain can take over, and the groups will be needed as
- * soon as the first evacuation ends.
+ * Divides fabric domains into those that may be used and those that are evacuated. When all are evacuated, plans
+ * continue as if none were: no other domain can take over, and the groups are needed as soon as the first
+ * evacuation ends.
  */
 export function dividedByUse(
   domains: readonly FleetDomain[],
@@ -91,7 +91,7 @@
       };
 }
 
-/** The value of the groups in the domains that may be used. */
+/** The capacity value of the groups in the domains that may be used. */
 export function valueOf(view: FleetView): CapacityValue {
   const { profile, domains } = view;
   const value = new CapacityValue(profile.models, failureDomainsOf(domains).length);
@@ -103,7 +103,7 @@
   return value;
 }
 
-/** The most of `hosts` that groups of these sizes can use. */
+/** The largest number of hosts, at most `hosts`, that groups of these sizes can use up exactly. */
 export function mostUsable(hosts: number, sizes: readonly number[]): number {
   const reachable = new Array<boolean>(hosts + 1).fill(false);
   reachable[0] = true;
--- a/packages/entry/src/groups/formation-plan.ts
+++ b/packages/entry/src/groups/formation-plan.ts
@@ -1,45 +1,45 @@
-/** Decides which free hosts form which groups. Pure. */
+/** Decides which free hosts form which groups. All functions are pure. */
 import type { GroupModel } from '../configuration/serving-configuration.js';
 import type { HostEntry } from '../hosts/host-entry.js';
 import type { CapacityValue } from './capacity-value.js';
 import type { FleetDomain, FleetView } from './fleet-view.js';
 import { mostUsable, valueOf, warmMsOf } from './fleet-view.js';
 
-/** A group to be formed. */
+/** A replica group to be formed. */
 export type PlannedFormation = {
   readonly model: GroupModel;
   readonly fabricDomain: string;
   readonly failureDomain: string;
-  /** Head first. */
+  /** The members, head first. */
   readonly hosts: readonly HostEntry[];
   /** Expected time until all members are ready, in milliseconds. */
   readonly readyMs: number;
-  /** Members that have to load from the weight store. */
+  /** Number of members that have to load from the weight store. */
   readonly loads: number;
 };
 
-/** Whether groups may be formed of hosts that have to load first. */
+/** Whether groups may be formed of hosts that have to load first (`free`) or not (`none`). */
 export type FormationLoads = 'none' | 'free';
 
-/** Only of hosts that are ready without a load: others stage first, each by itself. */
+/** Groups are formed only of hosts that are ready without a load; other hosts stage first, individually. */
 export const NO_LOADS: FormationLoads = 'none';
 
-/** Of any hosts, while loads are quick and do not count. */
+/** Groups are formed of any hosts, while loads are fast and not limited. */
 export const FREE_LOADS: FormationLoads = 'free';
 
 /**
- * Worth of a group that still needs a load, against one that serves at once, 0 to 1. Above 0, so that a large model
- * that nobody has staged is formed at all; low, so that it takes no hosts from groups that serve at once.
+ * Weight of a group that still needs a load, relative to one that serves at once, 0 to 1. Above 0, so that a large
+ * model that no host has staged is formed at all; low, so that it takes no hosts from groups that serve at once.
  */
-const WAIT_WORTH = 0.2;
+const LOADING_GROUP_WEIGHT = 0.2;
 
 /**
- * What a slow host costs against one that has to load, in milliseconds: it would make its whole group
- * slow for as long as it is slow itself, so that it is taken last.
+ * Penalty for choosing a slow host, in milliseconds; above any load time, so that slow hosts are chosen last. A
+ * slow host makes its whole group slow for as long as it is slow itself.
  */
-const SLOW_HOST_MS = 60_000;
+const SLOW_HOST_PENALTY_MS = 60_000;
 
-/** Plans formations in the order of their worth, until hosts or loads run out. */
+/** Plans formations in the order of their score until no further group can be formed. */
 export function planFormations(
   view: FleetView,
   loads: FormationLoads,
@@ -48,9 +48,9 @@
 }
 
 /**
- * Forms groups of the free hosts of some domains and adds them to `value`.
+ * Plans groups of the free hosts of these domains and adds them to `value`.
  *
- * The next group is the one that lowers the cost most for each host that it takes or strands.
+ * The next group is always the one that lowers the cost most per host that it uses or strands.
  */
 export function fillDomains(
   view: FleetView,
@@ -58,12 +58,12 @@
   value: CapacityValue,
   loads: FormationLoads,
 ): readonly PlannedFormation[] {
-  const poolOf = (domain: FleetDomain, hosts: readonly HostEntry[]): Pool => ({
+  const makePool = (domain: FleetDomain, hosts: readonly HostEntry[]): Pool => ({
     domain,
     hosts,
     candidates: candidatesOf(domain, hosts, view, loads),
   });
-  const pools = domains.map(domain => poolOf(domain, domain.free));
+  const pools = domains.map(domain => makePool(domain, domain.free));
   const planned: PlannedFormation[] = [];
   for (;;) {
     const best = bestFormation(pools, value);
@@ -74,10 +74,10 @@
     value.add(best.model.name, best.failureDomain, 1);
     const index = pools.findIndex(({ domain }) => domain.fabricDomain === best.fabricDomain);
     const { domain, hosts } = pools[index] as Pool;
-    const taken = new Set(best.hosts);
-    pools[index] = poolOf(
+    const usedHosts = new Set(best.hosts);
+    pools[index] = makePool(
       domain,
-      hosts.filter(host => !taken.has(host)),
+      hosts.filter(host => !usedHosts.has(host)),
     );
   }
 }
@@ -87,23 +87,25 @@
   readonly domain: FleetDomain;
   readonly hosts: readonly HostEntry[];
   /**
-   * Kept until hosts are taken from the domain: each group that is formed changes the worth of all others, but the
-   * hosts of one domain only. With 3,000 free hosts in domains of 8 a plan takes 0.8 s of processor time so, and 2.1 s
-   * when all domains were looked at anew for each group; the order giver answers nobody meanwhile.
+   * Cached until hosts of the domain are used: each planned group changes the scores of all candidates, but the
+   * hosts of one domain only. For 3,000 free hosts in domains of 8, a plan takes 0.8 s of processor time with this
+   * cache, against 2.1 s when all domains are evaluated again for each group; the lease holder handles no requests
+   * during that time.
    */
   readonly candidates: readonly Candidate[];
 };
 
-/** A group that could be formed, and what of its score does not depend on other groups. */
+/** A group that could be formed, with the inputs of its score that do not depend on other groups. */
 type Candidate = {
   readonly formation: PlannedFormation;
-  /** Hosts that it takes, and those that can form no group any more without them. */
+  /** Number of hosts that the group uses, plus the hosts that it strands. */
   readonly hostsUsed: number;
-  readonly lost: readonly LostPart[];
+  /** Groups of other models that its hosts could soon have been in. */
+  readonly forgone: readonly ForgoneGroup[];
 };
 
-/** A part of a group of another model, 0 to 1, that its hosts could soon have been in. */
-type LostPart = { readonly model: string; readonly part: number };
+/** The fraction of a group of another model, 0 to 1, that is given up by using the hosts for this one. */
+type ForgoneGroup = { readonly model: string; readonly fraction: number };
 
 function candidatesOf(
   domain: FleetDomain,
@@ -116,8 +118,8 @@
     if (formation === undefined || (formation.loads > 0 && loads === NO_LOADS)) {
       return [];
     }
-    const hostsUsed = model.size + Math.max(0, strandedBy(model, hosts, view));
-    return [{ formation, hostsUsed, lost: lostParts(formation, hosts, view) }];
+    const hostsUsed = model.size + Math.max(0, countStrandedHosts(model, hosts, view));
+    return [{ formation, hostsUsed, forgone: forgoneGroupsOf(formation, hosts, view) }];
   });
 }
 
@@ -136,44 +138,49 @@
   return best;
 }
 
-// A model without any group comes first, the largest of these before the others: small groups
-// everywhere would leave no room for it.
-function scoreOf({ formation, hostsUsed, lost }: Candidate, value: CapacityValue): number {
+// Models without any group come first, the largest model before the others: small groups everywhere would leave
+// no room for it.
+function scoreOf({ formation, hostsUsed, forgone }: Candidate, value: CapacityValue): number {
   const { model, failureDomain } = formation;
   const gain = value.gain(model.name, failureDomain);
   if (value.count(model.name) === 0) {
     return gain * model.size;
   }
-  const lostWorth = lost.reduce(
-    (sum, { model: other, part }) => sum + value.gain(other, failureDomain) * WAIT_WORTH * part,
+  const forgoneGain = forgone.reduce(
+    (sum, { model: other, fraction }) =>
+      sum + value.gain(other, failureDomain) * LOADING_GROUP_WEIGHT * fraction,
     0,
   );
-  return (gain - lostWorth) / hostsUsed;
+  return (gain - forgoneGain) / hostsUsed;
 }
 
-// Hosts of the domain that can be in no group any more, beyond those that can not be in one now.
-function strandedBy(model: GroupModel, hosts: readonly HostEntry[], view: FleetView): number {
+// The number of the domain's hosts that no group could use after this one, beyond those that none can use now.
+function countStrandedHosts(
+  model: GroupModel,
+  hosts: readonly HostEntry[],
+  view: FleetView,
+): number {
   const sizes = view.profile.models.map(other => other.size);
   const rest = hosts.length - model.size;
   return rest - mostUsable(rest, sizes) - (hosts.length - mostUsable(hosts.length, sizes));
 }
 
-// Hosts that exchange the model they have loaded for another need a load before they can go back.
-// Where they would soon be part of a group of it, that is worth more than a group that helps little.
-function lostParts(
+// A host that gives up its loaded model for another needs a load before it can serve that model again. If it would
+// soon be in a group of that model, that group is worth more than another one with a small gain.
+function forgoneGroupsOf(
   formation: PlannedFormation,
   hosts: readonly HostEntry[],
   view: FleetView,
-): readonly LostPart[] {
+): readonly ForgoneGroup[] {
   return view.profile.models.flatMap(other => {
     const ready = hosts.filter(host => warmMsOf(host, other, view) !== undefined);
     if (other === formation.model || ready.length >= other.size) {
       return [];
     }
-    const givenUp = formation.hosts.filter(
+    const hostsGivingUp = formation.hosts.filter(
       host => host.lastModel === other.name && !host.stagedModels.includes(other.name),
     );
-    return [{ model: other.name, part: givenUp.length / other.size }];
+    return [{ model: other.name, fraction: hostsGivingUp.length / other.size }];
   });
 }
 
@@ -187,7 +194,11 @@
     return undefined;
   }
   const ranked = hosts
-    .map(host => ({ host, warmMs: warmMsOf(host, model, view), cost: costOf(host, model, view) }))
+    .map(host => ({
+      host,
+      warmMs: warmMsOf(host, model, view),
+      cost: selectionCostOf(host, model, view),
+    }))
     .sort((a, b) => a.cost - b.cost)
     .slice(0, model.size);
   const { fabricDomain, failureDomain } = domain;
@@ -195,25 +206,24 @@
     model,
     fabricDomain,
     failureDomain,
-    hosts: warmestFirst(ranked.map(candidate => candidate.host)),
+    hosts: sortByColdTime(ranked.map(candidate => candidate.host)),
     readyMs: Math.max(...ranked.map(candidate => candidate.warmMs ?? model.loadMs)),
     loads: ranked.filter(candidate => candidate.warmMs === undefined).length,
   };
 }
 
-// The first host becomes the head. Only the head receives requests, so a cold host limits its group only
-// where it is the head.
-function warmestFirst(hosts: readonly HostEntry[]): readonly HostEntry[] {
+// The first host becomes the head. Only the head receives requests, so a cold host limits its group only as head.
+function sortByColdTime(hosts: readonly HostEntry[]): readonly HostEntry[] {
   return [...hosts].sort((a, b) => a.coldLeftMs - b.coldLeftMs);
 }
 
-// Hosts that can do nothing else are taken first: hosts that are ready for several models are the
-// ones that can help after the next loss. Among hosts that have to load, empty ones come first.
-function costOf(host: HostEntry, model: GroupModel, view: FleetView): number {
+// Hosts that are ready for no other model have the lowest cost, since those that are ready for several models can
+// help after the next loss. Among hosts that have to load, those with no model have the lowest cost.
+function selectionCostOf(host: HostEntry, model: GroupModel, view: FleetView): number {
   const warmMs = warmMsOf(host, model, view);
   const others = view.profile.models.filter(
     other => other !== model && warmMsOf(host, other, view) !== undefined,
   );
-  const slowMs = view.slow.has(host.id) ? SLOW_HOST_MS : 0;
-  return (warmMs ?? model.loadMs) + others.length + slowMs;
+  const slowPenaltyMs = view.slow.has(host.id) ? SLOW_HOST_PENALTY_MS : 0;
+  return (warmMs ?? model.loadMs) + others.length + slowPenaltyMs;
 }
--- a/packages/entry/src/groups/free-hosts.ts
+++ b/packages/entry/src/groups/free-hosts.ts
@@ -1,30 +1,30 @@
 /**
- * Tells which hosts may be put into a new group. Pure.
+ * Decides which hosts may be put into a new group. All functions are pure.
  *
- * A host that is a member of another group is free only once its head has left that group. Where
- * the head is unreachable nobody knows whether it still serves, so its members leave first.
+ * A member of another group is free only once the head of that group has left it. An unreachable head may still
+ * serve, so the members are ordered to leave first in that case.
  */
 import type { HostEntry } from '../hosts/host-entry.js';
 import type { GroupBeliefs } from './group-beliefs.js';
 
-/** Ids of hosts that are to be members of groups that are being formed. */
+/** Ids of the members of all groups that are being formed. */
 export function awaitedHosts({ formations }: GroupBeliefs): ReadonlySet<string> {
   return new Set([...formations.values()].flatMap(({ members }) => members));
 }
 
 /**
- * True when the host may be ordered into a new group. `awaited` as of {@link awaitedHosts}: it is made once for all
- * hosts, since a thousand formations are under way when a fleet of 3,000 hosts starts.
+ * True when the host may be ordered into a new group. `awaited` is the result of {@link awaitedHosts}, computed
+ * once for all hosts: a thousand formations are in progress when a fleet of 3,000 hosts starts.
  */
 export function isFree(
   host: HostEntry,
-  beliefs: GroupBeliefs,
+  known: GroupBeliefs,
   awaited: ReadonlySet<string>,
 ): boolean {
-  if (!host.accepting || beliefs.busy.has(host.id) || beliefs.silent.has(host.id)) {
+  if (!host.accepting || known.busy.has(host.id) || known.silent.has(host.id)) {
     return false;
   }
-  // Its entry may still name the group that it is about to exchange for the new one.
+  // The entry of a host in a formation may still name the previous group.
   if (awaited.has(host.id)) {
     return false;
   }
@@ -33,13 +33,13 @@
     return true;
   }
   if (membership.rank === 0) {
-    // A head leaves first, whatever its state: an order to open it may be under way.
+    // A head has to leave first whatever its state: an order to open its group may be in progress.
     return false;
   }
-  return isReleased(membership.group, beliefs);
+  return isReleased(membership.group, known);
 }
 
-/** True when a group can not serve any more, so that its members may go elsewhere. */
-export function isReleased(group: string, beliefs: GroupBeliefs): boolean {
-  return beliefs.heads.get(group)?.left === true;
+/** True when the head has left the group: it can no longer serve, and its members may join other groups. */
+export function isReleased(group: string, known: GroupBeliefs): boolean {
+  return known.heads.get(group)?.left === true;
 }
--- a/packages/entry/src/groups/lacking-groups.test.ts
+++ b/packages/entry/src/groups/lacking-groups.test.ts
@@ -1,4 +1,7 @@
-/** The patterns: members are told to leave a group whose head is unreachable; hosts lose the store. */
+/**
+ * Guards against missing a group whose members were ordered to leave because its head is unreachable, and against
+ * reporting groups whose hosts have only lost their connection to the store.
+ */
 import { expect } from 'chai';
 
 import type { HostEntry } from '../hosts/host-entry.js';
@@ -10,20 +13,20 @@
   return testHost(id, { membership: { group, epoch: 1, rank, state: 'open' } });
 }
 
-describe('groups that lack a member', () => {
+describe('lacking groups', () => {
   let now = 0;
   let hosts: HostEntry[];
-  const lacking = (): LackingGroups =>
+  const lackingGroups = (): LackingGroups =>
     new LackingGroups({
       groups: () => replicaGroups(hosts),
       entryOf: id => hosts.find(host => host.id === id),
       now: () => now,
     });
 
-  it('are those that a member has left, for none or for another group', () => {
+  it('include groups that a member has left, for another group or for none', () => {
     for (const left of [testHost('x'), member('x', 0, 'other')]) {
       hosts = [member('h', 0), member('x', 1)];
-      const groups = lacking();
+      const groups = lackingGroups();
       expect([...groups.names]).to.deep.equal([]);
       hosts = [member('h', 0), left];
       now += 200;
@@ -31,9 +34,9 @@
     }
   });
 
-  it('are not those of which an entry is missing', () => {
+  it('do not include groups of which only an entry is missing', () => {
     hosts = [member('h', 0), member('x', 1)];
-    const groups = lacking();
+    const groups = lackingGroups();
     expect([...groups.names]).to.deep.equal([]);
     hosts = [member('h', 0)];
     now += 200;
--- a/packages/entry/src/groups/lacking-groups.ts
+++ b/packages/entry/src/groups/lacking-groups.ts
@@ -1,62 +1,62 @@
 /**
- * The open groups of which a member has left for another group, or for none.
+ * Finds the open groups that a member has left, for another group or for none.
  *
- * Their heads still take requests, and none of these moves on. A missing entry alone does not count: a
- * host that is cut off from the store loses its entry and serves on; on the users' days that is a
- * fifth of all hosts at a time, and a part of most groups.
+ * The heads of such groups still accept requests, but none of these requests makes progress. A missing entry alone
+ * does not count: a host that is cut off from the store loses its entry and continues to serve. In the users'
+ * workloads this happens to a fifth of all hosts at a time, among them members of most groups.
  */
 import type { HostEntry } from '../hosts/host-entry.js';
 import { monotonicMs } from '../server/time.js';
 import type { ReplicaGroup } from './replica-groups.js';
 import { headState } from './replica-groups.js';
 
-/** Time for which the answer is used again, in milliseconds: hundreds of followers ask each second. */
-const AGE_MS = 100;
+/** How long a result is cached, in milliseconds: hundreds of peers ask for it each second. */
+const MAX_AGE_MS = 100;
 
-/** Where the groups and entries are looked up. */
+/** Sources of groups and entries for {@link LackingGroups}. */
 export type LackingGroupsOptions = {
-  /** Groups of all services, as their members tell. */
+  /** Groups of all services, as reported by their members. */
   readonly groups: () => readonly ReplicaGroup[];
-  /** Entry of a host, where there is one. */
+  /** The entry of a host; undefined when it has none. */
   readonly entryOf: (hostId: string) => HostEntry | undefined;
-  /** Monotonic milliseconds; for tests. */
+  /** Clock in monotonic milliseconds; replaced in tests. */
   readonly now?: () => number;
 };
 
-/** Remembers the members of groups, since entries only tell where they are now. */
+/** Detects groups that a member has left. Remembers earlier members, since entries only name the current group. */
 export class LackingGroups {
   readonly #options: LackingGroupsOptions;
   /** Host ids by group and rank. */
   #members = new Map<string, Map<number, string>>();
   #names: ReadonlySet<string> = new Set();
-  #at = -Infinity;
+  #computedAt = -Infinity;
 
   constructor(options: LackingGroupsOptions) {
     this.#options = options;
   }
 
-  /** The names of these groups as of a moment ago at most. */
+  /** The names of these groups, at most 100 ms old. */
   get names(): ReadonlySet<string> {
     const now = (this.#options.now ?? monotonicMs)();
-    if (now - this.#at > AGE_MS) {
-      this.#at = now;
-      this.#look();
+    if (now - this.#computedAt > MAX_AGE_MS) {
+      this.#computedAt = now;
+      this.#refresh();
     }
     return this.#names;
   }
 
-  #look(): void {
+  #refresh(): void {
     const members = new Map<string, Map<number, string>>();
     const lacking = new Set<string>();
     for (const group of this.#options.groups()) {
-      const known = this.#members.get(group.name) ?? new Map<number, string>();
+      const knownMembers = this.#members.get(group.name) ?? new Map<number, string>();
       group.members.forEach((member, rank) => {
         if (member !== undefined) {
-          known.set(rank, member.id);
+          knownMembers.set(rank, member.id);
         }
       });
-      members.set(group.name, known);
-      if (headState(group) === 'open' && this.#hasLeaver(group, known)) {
+      members.set(group.name, knownMembers);
+      if (headState(group) === 'open' && this.#hasMemberLeft(group, knownMembers)) {
         lacking.add(group.name);
       }
     }
@@ -64,8 +64,8 @@
     this.#names = lacking;
   }
 
-  #hasLeaver(group: ReplicaGroup, known: ReadonlyMap<number, string>): boolean {
-    return [...known].some(([rank, id]) => {
+  #hasMemberLeft(group: ReplicaGroup, knownMembers: ReadonlyMap<number, string>): boolean {
+    return [...knownMembers].some(([rank, id]) => {
       const entry = group.members[rank] === undefined ? this.#options.entryOf(id) : undefined;
       return entry !== undefined && entry.membership?.group !== group.name;
     });
--- a/packages/entry/src/groups/load-budget.ts
+++ b/packages/entry/src/groups/load-budget.ts
@@ -1,27 +1,27 @@
-/** Bounds how many loads from the weight store begin, over a sliding window. */
+/** Limits the number of loads from the weight store that begin within a sliding window. */
 
-/** Counts begun loads. */
+/** Records when loads began, and computes how many more may begin. All times are in monotonic milliseconds. */
 export class LoadBudget {
   readonly #windowMs: number;
-  readonly #begun: number[] = [];
+  readonly #startTimes: number[] = [];
 
   constructor(windowMs: number) {
     this.#windowMs = windowMs;
   }
 
-  /** Notes that loads may have begun. */
+  /** Records that loads have begun, or may have begun. */
   note(now: number, loads = 1): void {
     for (let load = 0; load < loads; load++) {
-      this.#begun.push(now);
+      this.#startTimes.push(now);
     }
   }
 
-  /** Loads that may begin now, given the rate and how many run. */
+  /** The number of loads that may begin now; `running` loads are in progress. */
   left(now: number, loadsPerSecond: number, loadsAtOnce: number, running: number): number {
-    while (this.#begun.length > 0 && now - (this.#begun[0] ?? 0) > this.#windowMs) {
-      this.#begun.shift();
+    while (this.#startTimes.length > 0 && now - (this.#startTimes[0] ?? 0) > this.#windowMs) {
+      this.#startTimes.shift();
     }
-    const byRate = (loadsPerSecond * this.#windowMs) / 1_000 - this.#begun.length;
+    const byRate = (loadsPerSecond * this.#windowMs) / 1_000 - this.#startTimes.length;
     return Math.max(0, Math.floor(Math.min(byRate, loadsAtOnce - running)));
   }
 }
--- a/packages/entry/src/groups/plans.test.ts
+++ b/packages/entry/src/groups/plans.test.ts
@@ -1,4 +1,4 @@
-/** Formations, dissolutions and stagings on small examples, and bounds that hold for all inputs. */
+/** Checks formation, dissolution and staging plans on small examples, and their bounds on random inputs. */
 import { expect } from 'chai';
 import fc from 'fast-check';
 
@@ -38,12 +38,12 @@
   stagedModelsKept: 1,
 };
 
-let made = 0;
+let createdCount = 0;
 
 function host(staged?: string, loaded?: string): HostEntry {
-  made += 1;
+  createdCount += 1;
   const stagedModels = staged === undefined ? [] : [staged];
-  return testHost(`x${made}`, { stagedModels, loadedModel: loaded, lastModel: loaded });
+  return testHost(`x${createdCount}`, { stagedModels, loadedModel: loaded, lastModel: loaded });
 }
 
 function hosts(count: number, staged?: string, loaded?: string): HostEntry[] {
@@ -51,9 +51,9 @@
 }
 
 function group(model: GroupModel, staged = model.name): PlacedGroup {
-  made += 1;
+  createdCount += 1;
   const members = hosts(model.size, staged, model.name);
-  return { name: `g${made}`, model: model.name, members, dissolvable: true };
+  return { name: `g${createdCount}`, model: model.name, members, dissolvable: true };
 }
 
 function domain(name: string, free: HostEntry[], groups: PlacedGroup[] = []): FleetDomain {
@@ -77,7 +77,7 @@
 }
 
 describe('capacity value', () => {
-  it('gains less with each further group, and most with the first', () => {
+  it('assigns the largest gain to the first group and less to each further one', () => {
     const value = new CapacityValue(PROFILE.models, 1);
     let before = Infinity;
     for (let count = 0; count < 20; count++) {
@@ -89,7 +89,7 @@
     }
   });
 
-  it('gains more in a failure domain that has no group yet', () => {
+  it('assigns a larger gain to a failure domain without a group', () => {
     const value = new CapacityValue(PROFILE.models, 2);
     value.add('large', 'a', 2);
     expect(value.gain('large', 'b')).to.be.greaterThan(value.gain('large', 'a'));
@@ -97,7 +97,7 @@
 });
 
 describe('usable hosts', () => {
-  it('are what sums of sizes can reach', () => {
+  it('are the largest sum of group sizes that fits', () => {
     expect(mostUsable(7, [4, 2])).to.equal(6);
     expect(mostUsable(8, [5, 3])).to.equal(8);
     expect(mostUsable(3, [4])).to.equal(0);
@@ -105,7 +105,7 @@
 });
 
 describe('formation plan', () => {
-  it('forms groups of staged hosts only, once requests have come', () => {
+  it('forms groups of staged hosts only when loads are limited', () => {
     const view = fleet(domain('d0', [...hosts(4, 'large'), ...hosts(4)]));
     const later = planFormations(view, NO_LOADS);
     expect(modelsOf(later)).to.deep.equal(['large']);
@@ -113,7 +113,7 @@
     expect(modelsOf(planFormations(view, FREE_LOADS))).to.include('small');
   });
 
-  it('leaves room for a large model that has no group yet', () => {
+  it('leaves room for a large model without a group', () => {
     const models = [
       { ...LARGE, size: 8, workShare: 0.05 },
       { ...SMALL, workShare: 0.95 },
@@ -123,7 +123,7 @@
     expect(modelsOf(planned)).to.include.members(['large', 'small']);
   });
 
-  it('puts the host that is warm soonest at the head, whatever else makes it dearer', () => {
+  it('makes the host that is warm first the head, whatever its selection cost', () => {
     const cold = (left: number, change: HostEntry): HostEntry => ({ ...change, coldLeftMs: left });
     const chosen = [
       cold(2_000, host('small')),
@@ -141,7 +141,7 @@
     expect(formation?.hosts).to.deep.equal(warm);
   });
 
-  it('never takes a host twice, nor a group across domains', () => {
+  it('never uses a host twice, and never forms a group across domains', () => {
     const staged = fc.constantFrom(undefined, 'large', 'small');
     const anyDomain = fc.array(staged, { maxLength: 9 });
     fc.assert(
@@ -164,17 +164,17 @@
     );
   });
 
-  it('keeps loaded hosts for a group that needs one more load and is worth more', () => {
+  it('keeps loaded hosts for a group with a larger gain that needs one more load', () => {
     const loaded = hosts(3, 'small', 'large');
     const manySmall = Array.from({ length: 8 }, () => group(SMALL));
-    const largeLacks = fleet(domain('d0', loaded), domain('d1', [], [group(LARGE), ...manySmall]));
-    expect(planFormations(largeLacks, NO_LOADS)).to.deep.equal([]);
+    const fewLarge = fleet(domain('d0', loaded), domain('d1', [], [group(LARGE), ...manySmall]));
+    expect(planFormations(fewLarge, NO_LOADS)).to.deep.equal([]);
     const manyLarge = Array.from({ length: 8 }, () => group(LARGE));
-    const smallLacks = fleet(domain('d0', loaded), domain('d1', [], [group(SMALL), ...manyLarge]));
-    expect(modelsOf(planFormations(smallLacks, NO_LOADS))).to.deep.equal(['small']);
+    const fewSmall = fleet(domain('d0', loaded), domain('d1', [], [group(SMALL), ...manyLarge]));
+    expect(modelsOf(planFormations(fewSmall, NO_LOADS))).to.deep.equal(['small']);
   });
 
-  it('takes hosts that are ready for nothing else before those that are', () => {
+  it('prefers hosts that are ready for no other model', () => {
     const versatile = host('large', 'small');
     const view = fleet(domain('d0', [versatile, ...hosts(2, 'small', 'small')]));
     expect(planFormations(view, NO_LOADS)[0]?.hosts).to.not.include(versatile);
@@ -182,7 +182,7 @@
 });
 
 describe('dissolution plan', () => {
-  it('gives up a group whose hosts complete one that is needed more', () => {
+  it('dissolves a group whose hosts complete one that is needed more', () => {
     const ready = group(SMALL, 'large');
     const others = [group(SMALL), group(SMALL), group(SMALL)];
     const view = fleet(domain('d0', hosts(3, 'large', 'large'), [ready]), domain('d1', [], others));
@@ -190,20 +190,20 @@
     expect(planned?.groups).to.deep.equal([ready]);
   });
 
-  it('leaves groups alone whose hosts would have to load first', () => {
+  it('does not dissolve groups whose hosts would have to load first', () => {
     const others = [group(SMALL), group(SMALL), group(SMALL), group(SMALL)];
     const view = fleet(domain('d0', hosts(3, 'large', 'large'), others));
     expect(planDissolution(view)).to.equal(undefined);
   });
 
-  it('leaves a balanced fleet alone', () => {
+  it('dissolves nothing in a balanced fleet', () => {
     const groups = [group(LARGE, 'small'), group(SMALL, 'large')];
     expect(planDissolution(fleet(domain('d0', hosts(1), groups)))).to.equal(undefined);
   });
 });
 
 describe('plans with an evacuated failure domain', () => {
-  const elsewhere = (free: HostEntry[], groups: PlacedGroup[] = []): FleetDomain => ({
+  const inOtherFailureDomain = (free: HostEntry[], groups: PlacedGroup[] = []): FleetDomain => ({
     ...domain('d9', free, groups),
     failureDomain: 'z',
   });
@@ -211,41 +211,43 @@
   it('do not count its groups', () => {
     const manyLarge = Array.from({ length: 8 }, () => group(LARGE));
     const view = fleet(domain('d0', hosts(3, 'small', 'large'), [group(LARGE), group(SMALL)]));
-    const withIdle = { ...view, evacuated: [elsewhere([], manyLarge)] };
-    expect(planFormations(withIdle, FREE_LOADS)).to.deep.equal(planFormations(view, FREE_LOADS));
-    expect(planStagings(withIdle, 6)).to.deep.equal(planStagings(view, 6));
+    const withEvacuated = { ...view, evacuated: [inOtherFailureDomain([], manyLarge)] };
+    expect(planFormations(withEvacuated, FREE_LOADS)).to.deep.equal(
+      planFormations(view, FREE_LOADS),
+    );
+    expect(planStagings(withEvacuated, 6)).to.deep.equal(planStagings(view, 6));
   });
 
-  it('dissolve none of its groups, whatever they would be worth elsewhere', () => {
+  it('dissolve none of its groups, even if their hosts are needed elsewhere', () => {
     const ready = group(SMALL, 'large');
     const others = [group(SMALL), group(SMALL), group(SMALL)];
-    const idle = elsewhere(hosts(3, 'large', 'large'), [ready]);
-    const view = { ...fleet(domain('d1', [], others)), evacuated: [idle] };
+    const evacuated = inOtherFailureDomain(hosts(3, 'large', 'large'), [ready]);
+    const view = { ...fleet(domain('d1', [], others)), evacuated: [evacuated] };
     expect(planDissolution(view)).to.equal(undefined);
   });
 
-  it('form its free hosts into groups without touching the others', () => {
-    const idle = elsewhere(hosts(4, 'large', 'large'));
-    const view = { ...fleet(domain('d0', hosts(3), [group(SMALL)])), evacuated: [idle] };
+  it('form groups of its free hosts without using hosts of other domains', () => {
+    const evacuated = inOtherFailureDomain(hosts(4, 'large', 'large'));
+    const view = { ...fleet(domain('d0', hosts(3), [group(SMALL)])), evacuated: [evacuated] };
     const planned = planIdleFormations(view, NO_LOADS);
     expect(modelsOf(planned)).to.deep.equal(['large']);
-    expect(planned[0]?.hosts.every(member => idle.free.includes(member))).to.equal(true);
+    expect(planned[0]?.hosts.every(member => evacuated.free.includes(member))).to.equal(true);
   });
 
-  it('leave half of the remaining loads to the domains in use, and the last one', () => {
-    const view = { ...fleet(domain('d0', [])), evacuated: [elsewhere(hosts(16))] };
+  it('leave at least half of the remaining loads to the domains in use', () => {
+    const view = { ...fleet(domain('d0', [])), evacuated: [inOtherFailureDomain(hosts(16))] };
     expect(planIdleStagings(view, 1)).to.deep.equal([]);
     expect(planIdleStagings(view, 6)).to.have.length(3);
   });
 
-  it('stage there only what completes a group', () => {
-    const idle = elsewhere(hosts(1), [group(LARGE), group(SMALL)]);
-    expect(planIdleStagings({ ...fleet(domain('d0', [])), evacuated: [idle] }, 6)).to.deep.equal(
-      [],
-    );
+  it('stage in it only what completes a group', () => {
+    const evacuated = inOtherFailureDomain(hosts(1), [group(LARGE), group(SMALL)]);
+    expect(
+      planIdleStagings({ ...fleet(domain('d0', [])), evacuated: [evacuated] }, 6),
+    ).to.deep.equal([]);
   });
 
-  it('give up nothing while a domain returns, but for a model that nobody serves', () => {
+  it('dissolve groups while a domain returns only for a model without a group', () => {
     const ready = group(SMALL, 'large');
     const others = [group(SMALL), group(SMALL), group(SMALL)];
     const lacking = domain('d0', hosts(3, 'large', 'large'), [ready]);
@@ -256,31 +258,31 @@
     expect(planDissolution({ ...served, isReturning: true })).to.equal(undefined);
   });
 
-  it('never mix hosts of both', () => {
+  it('never mix its hosts with those of domains in use', () => {
     const staged = fc.array(fc.constantFrom(undefined, 'large', 'small'), { maxLength: 12 });
     fc.assert(
-      fc.property(staged, staged, (inUse, idle) => {
+      fc.property(staged, staged, (inUse, evacuated) => {
         const used = domain(
           'd0',
           inUse.map(model => host(model)),
         );
-        const left = elsewhere(idle.map(model => host(model)));
+        const left = inOtherFailureDomain(evacuated.map(model => host(model)));
         const view = { ...fleet(used), evacuated: [left] };
         const formed = planFormations(view, FREE_LOADS).flatMap(formation => formation.hosts);
         const staging = planStagings(view, 6).map(planned => planned.host);
         expect([...formed, ...staging].every(one => used.free.includes(one))).to.equal(true);
-        const idleFormed = planIdleFormations(view, FREE_LOADS).flatMap(({ hosts: of }) => of);
-        const idleStaging = planIdleStagings(view, 6).map(planned => planned.host);
-        expect([...idleFormed, ...idleStaging].every(one => left.free.includes(one))).to.equal(
-          true,
-        );
+        const evacuatedFormed = planIdleFormations(view, FREE_LOADS).flatMap(({ hosts: of }) => of);
+        const evacuatedStaging = planIdleStagings(view, 6).map(planned => planned.host);
+        expect(
+          [...evacuatedFormed, ...evacuatedStaging].every(one => left.free.includes(one)),
+        ).to.equal(true);
       }),
     );
   });
 });
 
 describe('staging plan', () => {
-  it('completes a group with one load before it prepares another with two', () => {
+  it('prefers completing a group with one load to preparing another with two', () => {
     const groups = [group(LARGE), group(SMALL), group(SMALL)];
     const view = fleet(domain('d0', [...hosts(3, 'large'), host()], groups));
     const [first] = planStagings(view, 1);
@@ -288,7 +290,7 @@
     expect(first?.host.stagedModels).to.deep.equal([]);
   });
 
-  it('stages one host after the other where a group needs more loads than may run', () => {
+  it('stages hosts one after the other if a group needs more loads than are left', () => {
     let free = hosts(4);
     for (let staged = 0; staged < LARGE.size; staged++) {
       const view = fleet(domain('d0', free, [group(SMALL), group(SMALL)]));
@@ -298,39 +300,39 @@
     }
   });
 
-  it('keeps a replacement for each model that has a group in the domain', () => {
+  it('stages a replacement on a free host for the groups of its domain', () => {
     const view = fleet(domain('d0', hosts(1), [group(LARGE), group(SMALL)]));
     const planned = planStagings(view, 6);
     expect(planned[0]?.host).to.equal(view.domains[0]?.free[0]);
   });
 
-  it('lets a serving host stage what it may be needed for after a loss', () => {
+  it('lets a serving host stage a model that it may have to serve after a loss', () => {
     const view = fleet(domain('d0', [], [group(LARGE), group(SMALL), group(SMALL), group(SMALL)]));
     const [first] = planStagings(view, 1);
     expect(first?.model.name).to.equal('large');
     expect(first?.host.loadedModel).to.equal('small');
   });
 
-  it('stages two of three stranded hosts for a model that they can serve', () => {
+  it('stages on two of three stranded hosts a model that two hosts can serve', () => {
     const view = fleet(domain('d0', hosts(3, 'large', 'large'), [group(LARGE)]));
     const planned = planStagings(view, 2);
     expect(modelsOf(planned)).to.deep.equal(['small', 'small']);
   });
 
-  it('leaves copies alone while the hosts of their domain come back one after the other', () => {
+  it('evicts no copies while the entries of their domain are returning', () => {
     const back = hosts(2, 'large', 'large');
     const empty = host();
     const view = fleet(domain('d0', [...back, empty]), domain('d1', [], [group(LARGE)]));
     const planned = planStagings(view, 6).map(({ host: one }) => one);
-    expect(planned, 'else copies make way').to.include.members(back);
+    expect(planned, 'copies are evicted otherwise').to.include.members(back);
     const lapsed = new Set(['d0']);
     const loads = planStagings({ ...view, lapsed }, 6).map(({ host: one }) => one);
     expect(loads.filter(one => back.includes(one))).to.deep.equal([]);
   });
 
-  it('takes no copy from a group that a running load completes', () => {
+  it('evicts no copy that a group needs which a running load completes', () => {
     const staging = host();
-    const copiesTaken = (copies: number): number => {
+    const evictedCopies = (copies: number): number => {
       const staged = hosts(copies, 'large');
       const view = fleet(domain('d0', [...staged, staging]), domain('d1', [], [group(SMALL)]));
       const stagingNow = (id: string): string | undefined =>
@@ -338,18 +340,20 @@
       const planned = planStagings({ ...view, stagingNow }, 6);
       return planned.filter(({ host: one }) => staged.includes(one)).length;
     };
-    expect(copiesTaken(LARGE.size - 1)).to.equal(0);
-    expect(copiesTaken(LARGE.size - 2), 'no group comes of them').to.be.at.least(1);
+    expect(evictedCopies(LARGE.size - 1)).to.equal(0);
+    expect(evictedCopies(LARGE.size - 2), 'the copies do not suffice for a group').to.be.at.least(
+      1,
+    );
   });
 
-  it('leaves a staged copy alone that a host has nothing loaded beside', () => {
+  it('does not evict the only copy on a host without a loaded model', () => {
     const view = fleet(domain('d0', hosts(1, 'small'), [group(LARGE), group(SMALL)]));
     expect(planStagings(view, 6).map(staging => staging.host)).to.not.include(
       view.domains[0]?.free[0],
     );
   });
 
-  it('never plans more loads than there are, nor a host twice, and comes to an end', () => {
+  it('never plans more loads than are left or a host twice, and terminates', () => {
     const staged = fc.constantFrom(undefined, 'large', 'small');
     const left = fc.oneof(fc.nat(8), fc.constant(Infinity));
     fc.assert(
@@ -364,7 +368,7 @@
 });
 
 describe('load budget', () => {
-  it('bounds the loads that begin in any window', () => {
+  it('limits the loads that begin in any window', () => {
     const gaps = fc.array(fc.integer({ min: 0, max: 400 }), { maxLength: 200 });
     fc.assert(
       fc.property(gaps, steps => {
--- a/packages/entry/src/groups/rearrangement.ts
+++ b/packages/entry/src/groups/rearrangement.ts
@@ -1,40 +1,40 @@
-/** Keeps which groups are being dissolved for others, and how often that is looked into. */
+/** Tracks the groups that are being dissolved for others, and limits how often dissolutions are planned. */
 import type { Log } from '../server/log.js';
 import type { FleetView } from './fleet-view.js';
 import { planDissolution } from './rearrangement-plan.js';
 import type { ReplicaGroup } from './replica-groups.js';
 import { planSlowReplacements } from './slow-members.js';
 
-/** Time between two looks for a better arrangement, in milliseconds; a look takes about 1 ms. */
-const LOOK_PERIOD_MS = 300;
+/** Least time between two evaluations, in milliseconds; an evaluation takes about 1 ms. */
+const EVALUATION_PERIOD_MS = 300;
 /**
- * Least time between two dissolutions, in milliseconds, so that the entries of hosts show what the
- * first has brought: requests finish within 0.8 s, and entries follow within 0.9 s at most.
+ * Least time between two dissolutions, in milliseconds, so that the entries of hosts already show the effect of the
+ * first one: requests finish within 0.8 s, and entries follow within at most 0.9 s.
  */
 const DISSOLUTION_PERIOD_MS = 1_500;
 
-/** The dissolutions of one service. */
+/** The dissolutions in progress for one service. */
 export class Rearrangement {
   readonly #log: Log;
   readonly #dissolving = new Map<string, number>();
-  #lookedAt = -Infinity;
+  #evaluatedAt = -Infinity;
   #dissolvedAt = -Infinity;
 
   constructor(log: Log) {
     this.#log = log;
   }
 
-  /** Groups that are being dissolved, with the time since when (monotonic milliseconds). */
+  /** The groups that are being dissolved, with the time at which each dissolution began (monotonic milliseconds). */
   get dissolving(): ReadonlyMap<string, number> {
     return this.#dissolving;
   }
 
-  /** Decides whether groups are to be dissolved; their repair gives the orders. */
+  /** Decides which groups are to be dissolved; the orders are sent by the repair of these groups. */
   look(fleet: FleetView, now: number): void {
-    if (now - this.#lookedAt < LOOK_PERIOD_MS) {
+    if (now - this.#evaluatedAt < EVALUATION_PERIOD_MS) {
       return;
     }
-    this.#lookedAt = now;
+    this.#evaluatedAt = now;
     this.#replaceSlowMembers(fleet, now);
     if (now - this.#dissolvedAt < DISSOLUTION_PERIOD_MS) {
       return;
@@ -52,7 +52,7 @@
     }
   }
 
-  // These wait for nothing: each gives its hosts back to a group of the same model.
+  // Not limited by the dissolution period: the hosts of each group form a group of the same model again.
   #replaceSlowMembers(fleet: FleetView, now: number): void {
     for (const group of planSlowReplacements(fleet)) {
       this.#dissolving.set(group.name, now);
@@ -65,7 +65,7 @@
     }
   }
 
-  /** Forgets groups that have no head any more. */
+  /** Removes groups that no longer have a head. */
   forgetEnded(groups: readonly ReplicaGroup[]): void {
     for (const name of this.#dissolving.keys()) {
       if (groups.find(group => group.name === name)?.head === undefined) {
@@ -74,7 +74,7 @@
     }
   }
 
-  /** Forgets all: another term has begun. */
+  /** Removes all groups at the beginning of a term. */
   clear(): void {
     this.#dissolving.clear();
   }
--- a/packages/entry/src/groups/replica-groups.ts
+++ b/packages/entry/src/groups/replica-groups.ts
@@ -1,20 +1,20 @@
-/** Replica groups as their members tell of them. Pure. */
+/** Derives replica groups from the entries of their members. All functions are pure. */
 import type { HostEntry, MembershipState } from '../hosts/host-entry.js';
 
-/** A replica group seen from its members' entries. */
+/** A replica group as reported by its members' entries. */
 export type ReplicaGroup = {
   readonly name: string;
   readonly epoch: number;
-  /** Members by rank; a missing place is undefined. */
+  /** The members by rank; undefined for a rank without an entry. */
   readonly members: readonly (HostEntry | undefined)[];
-  /** The member of rank 0, where its entry is there. */
+  /** The member with rank 0; undefined while its entry is missing. */
   readonly head: HostEntry | undefined;
-  /** Model that the group serves, as far as a member tells. */
+  /** The model that the group serves; undefined while no member reports one. */
   readonly model: string | undefined;
   readonly fabricDomain: string | undefined;
 };
 
-/** Collects the groups of one service's hosts. */
+/** Collects the groups that the hosts of one service are members of. */
 export function replicaGroups(hosts: readonly HostEntry[]): readonly ReplicaGroup[] {
   const byName = new Map<string, HostEntry[]>();
   for (const host of hosts) {
@@ -25,27 +25,27 @@
       byName.set(key, members);
     }
   }
-  return [...byName.values()].map(groupOf);
+  return [...byName.values()].map(buildGroup);
 }
 
-/** State of the group's head; undefined while its entry is missing. */
+/** The state of the group's head; undefined while its entry is missing. */
 export function headState(group: ReplicaGroup): MembershipState | undefined {
   return group.head?.membership?.state;
 }
 
-function groupOf(present: readonly HostEntry[]): ReplicaGroup {
+function buildGroup(present: readonly HostEntry[]): ReplicaGroup {
   const members: (HostEntry | undefined)[] = [];
   for (const host of present) {
     members[host.membership?.rank ?? 0] = host;
   }
   const filled = Array.from(members);
-  const first = present[0];
+  const anyMember = present[0];
   return {
-    name: first?.membership?.group ?? '',
-    epoch: first?.membership?.epoch ?? 0,
+    name: anyMember?.membership?.group ?? '',
+    epoch: anyMember?.membership?.epoch ?? 0,
     members: filled,
     head: filled[0],
     model: present.find(host => host.loadedModel !== undefined)?.loadedModel,
-    fabricDomain: first?.fabricDomain,
+    fabricDomain: anyMember?.fabricDomain,
   };
 }
--- a/packages/entry/src/groups/running-stagings.ts
+++ b/packages/entry/src/groups/running-stagings.ts
@@ -1,4 +1,4 @@
-/** The stagings that this order giver has ordered, until they are done, lost or overdue. */
+/** Tracks the stagings that this lease holder has ordered until they are done, lost or overdue. */
 import type { GroupModel } from '../configuration/serving-configuration.js';
 import type { DepartedHost, HostEntry } from '../hosts/host-entry.js';
 import type { Log } from '../server/log.js';
@@ -8,20 +8,20 @@
 import type { LostHostBeliefs } from './load-crashes.js';
 import { LoadCrashes } from './load-crashes.js';
 
-/** What stagings are observed by. */
+/** Dependencies of {@link RunningStagings}. */
 export type RunningStagingsOptions = {
   readonly beliefs: LostHostBeliefs;
   readonly departed: () => readonly DepartedHost[];
   readonly log: Log;
 };
 
-/** Time beyond twice the load after which a staging is ordered again, in milliseconds. */
+/** Time beyond twice the load time after which a staging is overdue and may be ordered again, in milliseconds. */
 const STAGING_SLACK_MS = 10_000;
 const LOAD_SLACK_FACTOR = 2;
-/** Time for which a staging that was not taken is left alone, in milliseconds. */
+/** Pause before a host that has not accepted a staging may be ordered to stage again, in milliseconds. */
 const STAGING_RETRY_MS = 1_500;
 
-/** Stagings by host; all times in monotonic milliseconds. */
+/** Stagings by host; all times are in monotonic milliseconds. */
 export class RunningStagings {
   readonly #options: RunningStagingsOptions;
   readonly #stagings = new Map<string, Staging>();
@@ -32,23 +32,23 @@
     this.#crashes = new LoadCrashes(options.log);
   }
 
-  /** All of them, by host. */
+  /** All stagings by host id. */
   get all(): ReadonlyMap<string, Staging> {
     return this.#stagings;
   }
 
-  /** One is ordered. */
+  /** Records that a staging has been ordered. */
   begin(host: HostEntry, { name, loadMs }: GroupModel, now: number): void {
     const deadline = now + loadMs * LOAD_SLACK_FACTOR + STAGING_SLACK_MS;
     this.#stagings.set(host.id, { model: name, host, since: now, deadline });
   }
 
-  /** The host has not taken it. */
+  /** Records that the host has not accepted the staging. */
   refused(host: HostEntry, model: string, now: number): void {
     this.#stagings.set(host.id, { model, since: now, deadline: now + STAGING_RETRY_MS });
   }
 
-  /** Looks at the present entries. */
+  /** Removes stagings that are done, lost or overdue according to the current entries. */
   observe(hosts: readonly HostEntry[], now: number): void {
     const entries = new Map(hosts.map(host => [host.id, host]));
     for (const [id, staging] of this.#stagings) {
@@ -58,7 +58,7 @@
       if (isDone) {
         this.#crashes.noteLoaded(staging.model);
       } else if (isOver) {
-        this.#noteLost(staging, entry !== undefined, now);
+        this.#recordLost(staging, entry !== undefined, now);
       }
       if (isOver || now > staging.deadline) {
         this.#stagings.delete(id);
@@ -67,18 +67,18 @@
     this.#crashes.settle(this.#options.beliefs, now);
   }
 
-  /** The fleet without the models whose loads end the hosts that load them. */
+  /** The view without the models whose loads are held back because they crash the hosts. */
   loadable(fleet: FleetView, now: number): FleetView {
     return this.#crashes.loadable(fleet, now);
   }
 
-  /** Forgets the stagings of an earlier term. */
+  /** Removes the stagings of an earlier term. */
   clear(): void {
     this.#stagings.clear();
   }
 
-  // A host that had announced its end is not lost.
-  #noteLost({ model, host, since }: Staging, isRestart: boolean, now: number): void {
+  // A host that has announced its shutdown does not count as lost.
+  #recordLost({ model, host, since }: Staging, isRestart: boolean, now: number): void {
     const departed = this.#options.departed().find(({ entry }) => entry.id === host?.id);
     if (host !== undefined && (isRestart || departed?.entry.accepting !== false)) {
       this.#crashes.noteLost({ model, host, since }, isRestart, now);
--- a/packages/entry/src/groups/settling.ts
+++ b/packages/entry/src/groups/settling.ts
@@ -1,27 +1,27 @@
-/** Tells when the hosts of a service have come in, so that plans see whole fabric domains. */
+/** Detects when the hosts of a service have registered, so that the first plans cover whole fabric domains. */
 
-/** Pause in which no new host may have come, in milliseconds. */
+/** Time without a new host after which the hosts count as complete, in milliseconds. */
 const SETTLE_MS = 300;
 /**
- * Longest wait, counted from the first host, in milliseconds. Hosts write their first entry within
- * a heartbeat of their start, and an outage of the store holds some of them up a little longer.
+ * Longest wait, counted from the first host, in milliseconds. Hosts write their first entry within a heartbeat of
+ * their start; an outage of the store delays some of them a little longer.
  */
 const MAX_SETTLE_MS = 3_500;
 
-/** Watches the number of hosts grow. */
+/** Tracks the growing number of hosts. */
 export class Settling {
-  #mostHosts = 0;
+  #maxHosts = 0;
   #firstHostAt: number | undefined;
-  #grownAt = -Infinity;
+  #lastIncreaseAt = -Infinity;
 
-  /** True once groups may be formed. */
+  /** True once groups may be formed; `now` is in monotonic milliseconds. */
   isOver(hosts: number, now: number): boolean {
-    if (hosts > this.#mostHosts) {
+    if (hosts > this.#maxHosts) {
       this.#firstHostAt ??= now;
-      this.#mostHosts = hosts;
-      this.#grownAt = now;
+      this.#maxHosts = hosts;
+      this.#lastIncreaseAt = now;
     }
     const waited = now - (this.#firstHostAt ?? now);
-    return now - this.#grownAt > SETTLE_MS || waited > MAX_SETTLE_MS;
+    return now - this.#lastIncreaseAt > SETTLE_MS || waited > MAX_SETTLE_MS;
   }
 }
--- a/packages/entry/src/groups/slow-members.test.ts
+++ b/packages/entry/src/groups/slow-members.test.ts
@@ -1,4 +1,4 @@
-/** The pattern: single hosts turn several times slower for some 10 s, most of them in groups. */
+/** Guards against groups that stay slow because a single member is several times slower for some 10 s. */
 import { expect } from 'chai';
 
 import type { EngineProfile, GroupModel } from '../configuration/serving-configuration.js';
@@ -52,23 +52,23 @@
 describe('slow members', () => {
   const groups = [group('g1', 'a', 'b', 'c'), group('g2', 'd', 'e', 'f')];
 
-  it('are replaced where a free host is ready for the model', () => {
+  it('are replaced if a free host is ready for the model', () => {
     expect(dissolved(fleet(['b'], groups, ready('x')))).to.deep.equal(['g1']);
   });
 
-  it('stay where no sound host is ready, since a slow group serves more than none', () => {
+  it('stay if no other host is ready, since a slow group serves more than none', () => {
     expect(dissolved(fleet(['b'], groups, []))).to.deep.equal([]);
     expect(dissolved(fleet(['b', 'x'], groups, ready('x')))).to.deep.equal([]);
     const blank = [testHost('x', { loadedModel: undefined, lastModel: undefined })];
     expect(dissolved(fleet(['b'], groups, blank))).to.deep.equal([]);
   });
 
-  it('of two groups do not share one replacement', () => {
+  it('of two groups are not replaced by the same host', () => {
     expect(dissolved(fleet(['b', 'd'], groups, ready('x')))).to.deep.equal(['g1']);
     expect(dissolved(fleet(['b', 'd'], groups, ready('x', 'y')))).to.deep.equal(['g1', 'g2']);
   });
 
-  it('are the last that a new group takes', () => {
+  it('are chosen last for a new group', () => {
     const [formation] = planFormations(fleet(['a'], [], ready('a', 'b', 'c', 'd')), NO_LOADS);
     expect(formation?.hosts.map(({ id }) => id)).to.have.members(['b', 'c', 'd']);
   });
--- a/packages/entry/src/groups/slow-members.ts
+++ b/packages/entry/src/groups/slow-members.ts
@@ -1,37 +1,37 @@
 /**
- * Decides which groups give up slow members for hosts that wait. Pure.
+ * Decides which groups are dissolved to replace slow members by free hosts. All functions are pure.
  *
- * A group runs at the pace of its slowest member. Where the fabric domain has free hosts that are
- * ready for the model, forming the group anew costs it about 1.5 s, while a slow host stays slow for
- * some 10 s on the users' days and makes nearly all of the group's requests late.
+ * A group runs at the pace of its slowest member. If the fabric domain has free hosts that are ready for the model,
+ * forming the group again takes about 1.5 s, while a slow host stays slow for some 10 s in the users' workloads and
+ * delays nearly all requests of the group.
  */
 import type { GroupModel } from '../configuration/serving-configuration.js';
 import type { FleetDomain, FleetView, PlacedGroup } from './fleet-view.js';
 import { warmMsOf } from './fleet-view.js';
 
-/** Serving groups to be dissolved; their sound hosts and free ones form others in their place. */
+/** Serving groups to be dissolved; their other members and free hosts form new groups in their place. */
 export function planSlowReplacements(view: FleetView): readonly PlacedGroup[] {
   if (view.slow.size === 0) {
     return [];
   }
-  return view.domains.flatMap(domain => replaceableIn(domain, view));
+  return view.domains.flatMap(domain => replaceableGroupsIn(domain, view));
 }
 
-function replaceableIn(domain: FleetDomain, view: FleetView): readonly PlacedGroup[] {
-  let taken = 0;
+function replaceableGroupsIn(domain: FleetDomain, view: FleetView): readonly PlacedGroup[] {
+  let reserved = 0;
   return domain.groups.filter(group => {
-    const slow = group.members.filter(host => view.slow.has(host.id)).length;
+    const slowCount = group.members.filter(host => view.slow.has(host.id)).length;
     const model = view.profile.models.find(candidate => candidate.name === group.model);
-    if (slow === 0 || !group.dissolvable || model === undefined) {
+    if (slowCount === 0 || !group.dissolvable || model === undefined) {
       return false;
     }
-    const enough = readyIn(domain, model, view) - taken >= slow;
-    taken += enough ? slow : 0;
-    return enough;
+    const hasReplacements = countReadyFreeHosts(domain, model, view) - reserved >= slowCount;
+    reserved += hasReplacements ? slowCount : 0;
+    return hasReplacements;
   });
 }
 
-function readyIn(domain: FleetDomain, model: GroupModel, view: FleetView): number {
+function countReadyFreeHosts(domain: FleetDomain, model: GroupModel, view: FleetView): number {
   return domain.free.filter(
     host => !view.slow.has(host.id) && warmMsOf(host, model, view) !== undefined,
   ).length;
--- a/packages/entry/src/groups/staging-plan.ts
+++ b/packages/entry/src/groups/staging-plan.ts
@@ -1,14 +1,15 @@
 /**
- * Decides which hosts bring which models onto themselves. Pure.
+ * Decides which hosts stage which models. All functions are pure.
  *
- * Loads from the weight store are few, so each goes where it is worth most for its time:
+ * The number of loads from the weight store is limited, so the next load is always the one with the highest worth
+ * per load time. A load can be useful in four ways:
  *
- * - it completes a group of free hosts, alone or together with further loads;
- * - it prepares hosts of less needed groups to form one that is needed more;
- * - it lets a host, free or serving another model, replace a member that a group may lose;
- * - it lets the members of a group serve another model once their own group has lost one.
+ * - completion: it completes a group of free hosts, alone or together with further loads;
+ * - conversion: it prepares hosts of less needed groups to form one that is needed more;
+ * - replacement: it lets a host, free or serving another model, replace a member that a group may lose;
+ * - fallback: it lets the members of a group serve another model once their own group has lost a member.
  *
- * A host serves on while it stages, and it keeps the model of its last group beside the staged one.
+ * A host continues to serve while it stages, and it keeps the model of its last group beside the staged one.
  */
 import type { GroupModel } from '../configuration/serving-configuration.js';
 import type { HostEntry } from '../hosts/host-entry.js';
@@ -17,77 +18,80 @@
 import type { FleetDomain, FleetView } from './fleet-view.js';
 import { valueOf, willHave } from './fleet-view.js';
 
-/** A host that is to stage a model. */
+/** A host and the model that it is to stage. */
 export type PlannedStaging = { readonly host: HostEntry; readonly model: GroupModel };
 
 /**
- * Chance that a host is lost within the 12 to 16 s in which a replacement is staged: as when nine of 48
- * hosts are lost in 24 s.
+ * Probability that a host is lost within the 12 to 16 s that it takes to stage a replacement; corresponds to a loss
+ * of nine of 48 hosts in 24 s.
  */
-const LOSS_CHANCE = 0.1;
+const LOSS_PROBABILITY = 0.1;
 /**
- * Worth of each further replacement of one model in a domain against the one before, 0 to 1: it is needed
- * only if a second loss strikes the same domain first.
+ * Worth of each further replacement for a model in a domain relative to the previous one, 0 to 1: it is needed only
+ * if another loss occurs in the same domain first.
  */
-const NEXT_REPLACEMENT = 0.35;
+const FURTHER_REPLACEMENT_WEIGHT = 0.35;
 /**
- * What it costs to evict a staged copy that others may need, in loads of the model: most of the
- * time it has to be loaded again.
+ * Cost of evicting a staged copy that may be needed, in loads of the model: in most cases it has to be loaded again.
  */
-const RESTAGE_FACTOR = 1.5;
+const EVICTION_COST = 1.5;
 
-/** Stagings in the order of their worth, at most `loadsLeft`. */
+/** Plans stagings in the order of their score, at most `loadsLeft`. */
 export function planStagings(view: FleetView, loadsLeft: number): readonly PlannedStaging[] {
-  return planBest(view, loadsLeft, bestCandidate);
+  return planGreedily(view, loadsLeft, bestCandidate);
 }
 
-/** Stagings that complete groups of the free hosts of these domains, at most `loadsLeft`. */
+/** Plans stagings that complete groups of free hosts of these domains, at most `loadsLeft`. */
 export function planCompletions(
   view: FleetView,
   domains: readonly FleetDomain[],
   loadsLeft: number,
 ): readonly PlannedStaging[] {
-  return planBest(view, loadsLeft, (planning, value) =>
-    bestOf(domains, planning, (domain, model) => completion(planning, domain, model, value)),
+  return planGreedily(view, loadsLeft, (planning, value) =>
+    findBest(domains, planning, (domain, model) =>
+      completionCandidates(planning, domain, model, value),
+    ),
   );
 }
 
-function planBest(
+// Adds the best staging to the plan until there is none or the loads are used up.
+function planGreedily(
   view: FleetView,
   loadsLeft: number,
   best: (view: FleetView, value: CapacityValue) => Candidate | undefined,
 ): readonly PlannedStaging[] {
   const planned: PlannedStaging[] = [];
   const value = valueOf(view);
-  const begun = new Map<string, string>();
-  const stagingNow = (id: string): string | undefined => begun.get(id) ?? view.stagingNow(id);
+  const plannedModels = new Map<string, string>();
+  const stagingNow = (id: string): string | undefined =>
+    plannedModels.get(id) ?? view.stagingNow(id);
   const planning: FleetView = { ...view, stagingNow };
   while (planned.length < loadsLeft) {
     const next = best(planning, value);
     if (next === undefined) {
       return planned;
     }
-    begun.set(next.host.id, next.model.name);
+    plannedModels.set(next.host.id, next.model.name);
     planned.push({ host: next.host, model: next.model });
   }
   return planned;
 }
 
 type Candidate = PlannedStaging & {
-  /** Worth for each millisecond of loading. */
+  /** Worth per millisecond of loading. */
   readonly score: number;
 };
 
 function bestCandidate(view: FleetView, value: CapacityValue): Candidate | undefined {
-  return bestOf(view.domains, view, (domain, model) => [
-    ...completion(view, domain, model, value),
-    ...conversion(view, domain, model, value),
-    ...replacement(view, domain, model, value),
-    ...fallback(view, domain, model, value),
+  return findBest(view.domains, view, (domain, model) => [
+    ...completionCandidates(view, domain, model, value),
+    ...conversionCandidates(view, domain, model, value),
+    ...replacementCandidates(view, domain, model, value),
+    ...fallbackCandidates(view, domain, model, value),
   ]);
 }
 
-function bestOf(
+function findBest(
   domains: readonly FleetDomain[],
   view: FleetView,
   candidatesOf: (domain: FleetDomain, model: GroupModel) => readonly Candidate[],
@@ -105,53 +109,60 @@
   return best;
 }
 
-// One of the loads that free hosts lack for another group.
-function completion(
+// A load that free hosts still need to form another group.
+function completionCandidates(
   view: FleetView,
   domain: FleetDomain,
   model: GroupModel,
   value: CapacityValue,
 ): readonly Candidate[] {
-  const have = domain.free.filter(host => willHave(host, model, view)).length;
-  const missing = model.size - (have % model.size);
-  const able = domain.free.filter(host => canStage(host, model, view));
-  if (able.length < missing) {
+  const readyCount = domain.free.filter(host => willHave(host, model, view)).length;
+  const missing = model.size - (readyCount % model.size);
+  const stageable = domain.free.filter(host => canStage(host, model, view));
+  if (stageable.length < missing) {
     return [];
   }
-  const kept = preparedIn(view, domain, model);
-  const hosts = kept.length === 0 ? able : able.filter(host => !losesCopyOf(kept, host, view));
+  const protectedModels = otherModelsReadyToForm(view, domain, model);
+  const hosts =
+    protectedModels.length === 0
+      ? stageable
+      : stageable.filter(host => !wouldEvictCopyOf(protectedModels, host, view));
   if (hosts.length < missing) {
     return [];
   }
-  // Groups that are prepared already come before this one.
-  const prepared = Math.floor(have / model.size);
+  // Groups whose hosts are already prepared will be formed before this one.
+  const prepared = Math.floor(readyCount / model.size);
   const gain = value.gain(model.name, domain.failureDomain) / (1 + prepared);
   return candidateOf(view, hosts, model, gain, missing);
 }
 
-// Other models of which the free hosts will make up whole groups without any host to spare, once running
-// loads have ended. To evict one of their copies would delay these groups, possibly again and again.
-function preparedIn(
+// Other models for which the free hosts will form whole groups without a spare host once running loads have ended.
+// Evicting one of their copies would delay these groups, possibly repeatedly.
+function otherModelsReadyToForm(
   view: FleetView,
   domain: FleetDomain,
   model: GroupModel,
 ): readonly GroupModel[] {
   return view.profile.models.filter(other => {
-    const have = domain.free.filter(host => willHave(host, other, view)).length;
-    return other !== model && have > 0 && have % other.size === 0;
+    const readyCount = domain.free.filter(host => willHave(host, other, view)).length;
+    return other !== model && readyCount > 0 && readyCount % other.size === 0;
   });
 }
 
-// True when a load would evict the host's only copy of one of these models.
-function losesCopyOf(models: readonly GroupModel[], host: HostEntry, view: FleetView): boolean {
+// True when a load would evict the only copy on the host of one of these models.
+function wouldEvictCopyOf(
+  models: readonly GroupModel[],
+  host: HostEntry,
+  view: FleetView,
+): boolean {
   const isOnlyCopy = ({ name }: GroupModel): boolean =>
     name !== host.lastModel && host.stagedModels.includes(name);
-  return lossOfCopy(view, host) > 0 && models.some(isOnlyCopy);
+  return evictionCostOf(view, host) > 0 && models.some(isOnlyCopy);
 }
 
-// One of the loads after which groups that are worth less, together with free hosts, could be
-// dissolved for a group of this model.
-function conversion(
+// A load after which less needed groups could be dissolved so that their hosts, together with free hosts, form a
+// group of this model.
+function conversionCandidates(
   view: FleetView,
   domain: FleetDomain,
   model: GroupModel,
@@ -163,22 +174,24 @@
     .filter(group => group.dissolvable && group.model !== model.name)
     .sort((a, b) => ready(b.members) - ready(a.members));
   const hosts = [...domain.free];
-  let net = value.gain(model.name, domain.failureDomain);
+  let netGain = value.gain(model.name, domain.failureDomain);
   for (const group of groups) {
     if (hosts.length >= model.size) {
       break;
     }
     hosts.push(...group.members);
-    net -= value.loss(group.model, domain.failureDomain);
+    netGain -= value.loss(group.model, domain.failureDomain);
   }
   const missing = model.size - ready(hosts);
   if (hosts.length < model.size || missing <= 0) {
     return [];
   }
-  // A model that nobody serves may also take copies that others would use.
-  const unserved = value.count(model.name) === 0;
-  const possible = hosts.filter(host => (unserved ? canStage : canAlsoStage)(host, model, view));
-  return possible.length < missing ? [] : candidateOf(view, possible, model, net, missing);
+  // For a model without any group, copies that other groups may need can be evicted too.
+  const isUnserved = value.count(model.name) === 0;
+  const stageable = hosts.filter(host =>
+    (isUnserved ? canStage : canStageWithoutEviction)(host, model, view),
+  );
+  return stageable.length < missing ? [] : candidateOf(view, stageable, model, netGain, missing);
 }
 
 function candidateOf(
@@ -188,43 +201,43 @@
   gain: number,
   missing: number,
 ): readonly Candidate[] {
-  const [host] = sortedByUse(hosts, view);
+  const [host] = sortByEvictableCopies(hosts, view);
   if (host === undefined || gain <= 0) {
     return [];
   }
-  const score = gain / ((missing + lossOfCopy(view, host)) * model.loadMs);
+  const score = gain / ((missing + evictionCostOf(view, host)) * model.loadMs);
   return [{ host, model, score }];
 }
 
-// One more host that could take the place of a lost member: a free one, or one of a group that is
-// worth less and would be dissolved for it.
-function replacement(
+// A load on a host that could replace a lost member: a free host, or a member of a less needed group that would be
+// dissolved for it.
+function replacementCandidates(
   view: FleetView,
   domain: FleetDomain,
   model: GroupModel,
   value: CapacityValue,
 ): readonly Candidate[] {
   const groups = domain.groups.filter(group => group.model === model.name);
-  const chance = Math.min(1, groups.length * model.size * LOSS_CHANCE);
+  const probability = Math.min(1, groups.length * model.size * LOSS_PROBABILITY);
   const worth = value.loss(model.name, domain.failureDomain);
-  const sources = [{ hosts: domain.free, net: worth }];
+  const sources = [{ hosts: domain.free, netGain: worth }];
   for (const group of domain.groups) {
-    const net = worth - value.loss(group.model, domain.failureDomain);
-    if (group.dissolvable && group.model !== model.name && net > 0) {
-      sources.push({ hosts: group.members, net });
+    const netGain = worth - value.loss(group.model, domain.failureDomain);
+    if (group.dissolvable && group.model !== model.name && netGain > 0) {
+      sources.push({ hosts: group.members, netGain });
     }
   }
   const others = sources.flatMap(source => source.hosts);
-  const have = others.filter(host => willHave(host, model, view)).length;
-  const part = chance * Math.pow(NEXT_REPLACEMENT, have);
-  return sources.flatMap(({ hosts, net }) => {
-    const possible = hosts.filter(host => canAlsoStage(host, model, view));
-    return candidateOf(view, possible, model, part * net, 1);
+  const readyCount = others.filter(host => willHave(host, model, view)).length;
+  const weight = probability * Math.pow(FURTHER_REPLACEMENT_WEIGHT, readyCount);
+  return sources.flatMap(({ hosts, netGain }) => {
+    const stageable = hosts.filter(host => canStageWithoutEviction(host, model, view));
+    return candidateOf(view, stageable, model, weight * netGain, 1);
   });
 }
 
-// Members of larger groups that could serve this model if their own group lost a member.
-function fallback(
+// A load on a member of a larger group that could serve this model if its own group lost a member.
+function fallbackCandidates(
   view: FleetView,
   domain: FleetDomain,
   model: GroupModel,
@@ -236,50 +249,51 @@
     if (!group.dissolvable || group.model === model.name || left < model.size) {
       return [];
     }
-    const have = group.members.filter(host => willHave(host, model, view)).length;
-    const host = group.members.find(member => canAlsoStage(member, model, view));
-    // One more than the model needs, since nobody knows which member will be lost.
-    if (host === undefined || have > model.size) {
+    const readyCount = group.members.filter(host => willHave(host, model, view)).length;
+    const host = group.members.find(member => canStageWithoutEviction(member, model, view));
+    // One host more than the model needs, since any of the members may be the lost one.
+    if (host === undefined || readyCount > model.size) {
       return [];
     }
-    const chance = Math.min(1, group.members.length * LOSS_CHANCE);
-    return [{ host, model, score: (chance * gain) / model.size / model.loadMs }];
+    const probability = Math.min(1, group.members.length * LOSS_PROBABILITY);
+    return [{ host, model, score: (probability * gain) / model.size / model.loadMs }];
   });
 }
 
 function canStage(host: HostEntry, model: GroupModel, view: FleetView): boolean {
   const isIdle = view.stagingNow(host.id) === undefined;
-  return isIdle && !willHave(host, model, view) && !isAwaited(host, view);
+  return isIdle && !willHave(host, model, view) && !isReturningWithCopy(host, view);
 }
 
-// Hosts of a fabric domain that was cut off come back one after the other, with what they had loaded. A load
-// that is begun because the first ones are still too few would take many seconds, and evict the copy with
-// which their group could form at once.
-function isAwaited(host: HostEntry, view: FleetView): boolean {
+// True when the host has a copy and belongs to a fabric domain whose entries are returning after it was cut off. The
+// hosts return one by one with the models that they had loaded. A load begun because too few have returned so far
+// would take many seconds and evict the copy with which their group could be formed at once.
+function isReturningWithCopy(host: HostEntry, view: FleetView): boolean {
   const hasCopy = host.lastModel !== undefined || host.stagedModels.length > 0;
   return hasCopy && view.lapsed.has(fabricDomainOf(host));
 }
 
-// True when the host replaces no copy that may be of use. Copies are only replaced to complete a group
-// of free hosts or the only group of a model; otherwise hosts would stage one model after the other
-// for ever.
-function canAlsoStage(host: HostEntry, model: GroupModel, view: FleetView): boolean {
-  return canStage(host, model, view) && lossOfCopy(view, host) === 0;
+// True when the host can stage the model without evicting a copy that may be needed. Copies are evicted only to
+// complete a group of free hosts or the only group of a model; otherwise hosts would stage one model after the other
+// indefinitely.
+function canStageWithoutEviction(host: HostEntry, model: GroupModel, view: FleetView): boolean {
+  return canStage(host, model, view) && evictionCostOf(view, host) === 0;
 }
 
-// Hosts whose staged copies nobody would miss come first.
-function sortedByUse(hosts: readonly HostEntry[], view: FleetView): readonly HostEntry[] {
-  return [...hosts].sort((a, b) => copiesOf(a, view) - copiesOf(b, view));
+// Hosts with the fewest copies to evict come first.
+function sortByEvictableCopies(hosts: readonly HostEntry[], view: FleetView): readonly HostEntry[] {
+  return [...hosts].sort((a, b) => countEvictableCopies(a, view) - countEvictableCopies(b, view));
 }
 
-// Staged copies that a host could evict, besides the one of the model it has loaded.
-function copiesOf(host: HostEntry, view: FleetView): number {
+// The number of staged copies that a host could evict; the model of its last group does not count.
+function countEvictableCopies(host: HostEntry, view: FleetView): number {
   return view.profile.models.filter(
     model => model.name !== host.lastModel && host.stagedModels.includes(model.name),
   ).length;
 }
 
-function lossOfCopy(view: FleetView, host: HostEntry): number {
+// The cost of the copy that another staging would evict, in loads; 0 when it evicts none.
+function evictionCostOf(view: FleetView, host: HostEntry): number {
   const full = host.stagedModels.length >= view.profile.stagedModelsKept;
-  return full && copiesOf(host, view) > 0 ? RESTAGE_FACTOR : 0;
+  return full && countEvictableCopies(host, view) > 0 ? EVICTION_COST : 0;
 }
