--- a/packages/entry/src/groups/capacity-log.ts
+++ b/packages/entry/src/groups/capacity-log.ts
@@ -22,7 +22,7 @@
   }
 
   /** Logs the numbers of open groups per model outside evacuated failure domains when one of them has changed. */
-  note(groups: readonly ReplicaGroup[], fleet: FleetView, coming: CapacityComing): void {
+  note(groups: readonly ReplicaGroup[], fleet: FleetView, inProgress: CapacityComing): void {
     const { profile, domains, evacuated } = fleet;
     const evacuatedDomains = new Set(evacuated.map(domain => domain.failureDomain));
     const open = groups.filter(group => headState(group) === 'open');
@@ -45,7 +45,7 @@
       open: text,
       evacuated: open.length - usable.length,
       demand: workShares.join(','),
-      ...coming,
+      ...inProgress,
       free: domains.reduce((sum, domain) => sum + domain.free.length, 0),
       spares: spares.join(' '),
     });
--- a/packages/entry/src/groups/evacuation-days.test.ts
+++ b/packages/entry/src/groups/evacuation-days.test.ts
@@ -1,6 +1,6 @@
 /**
- * Plans on a simulated fleet whose failure domains are evacuated and taken back while groups serve: the other
- * domains continue to serve, and the groups of the evacuated domain serve at once when it is taken back.
+ * Plans on a simulated fleet whose failure domains are evacuated and returned to use: the other domains continue to
+ * serve, and the groups of the evacuated domain serve at once when it is returned to use.
  */
 import { expect } from 'chai';
 import fc from 'fast-check';
@@ -72,7 +72,7 @@
     expect(fleet.serving('small')).to.equal(4);
   });
 
-  it('keep the groups of the evacuated domain, so that they serve at once when it is taken back', () => {
+  it('keep the groups of the evacuated domain, so that they serve at once when it returns', () => {
     for (const kind of WIDE_FLEETS) {
       const fleet = startFleet(wideFleet(kind));
       const before = [fleet.serving('large'), fleet.serving('small')];
--- a/packages/entry/src/groups/fleet-days.test.ts
+++ b/packages/entry/src/groups/fleet-days.test.ts
@@ -170,7 +170,7 @@
     }
   });
 
-  it('do not give up a large model for many groups of a small one', () => {
+  it('do not trade a large model for many groups of a small one', () => {
     for (const seed of [1, 2, 3, 4, 5]) {
       const fleet = new FleetModel({ ...DAY_FLEET, profile: dayProfile(5, 3) });
       simulateDay(fleet, seed);
--- a/packages/entry/src/groups/fleet-picture.ts
+++ b/packages/entry/src/groups/fleet-picture.ts
@@ -42,11 +42,11 @@
       reservedDomains.add(fabricDomainOf(anyMember));
     }
   }
-  const awaited = awaitedHosts(known);
+  const inFormation = awaitedHosts(known);
   for (const host of hosts) {
     const domain = mutableDomainOf(domains, host);
     // Free hosts are reserved until the hosts of a group that is being dissolved in their domain can join them.
-    if (isFree(host, known, awaited) && !reservedDomains.has(domain.fabricDomain)) {
+    if (isFree(host, known, inFormation) && !reservedDomains.has(domain.fabricDomain)) {
       domain.free.push(host);
     }
   }
@@ -71,7 +71,8 @@
   return domain;
 }
 
-// Returns undefined for a group whose head is missing, does not answer, or has left: it does not count.
+// Returns undefined for a group that does not count because its head is missing, does not answer, or has left, and
+// for a group that is still being formed: formingGroups returns those.
 function placedGroup(group: ReplicaGroup, known: GroupBeliefs): PlacedGroup | undefined {
   const { name, model, head } = group;
   if (head === undefined || model === undefined || known.formations.has(name)) {
@@ -89,6 +90,7 @@
   return { name, model, members, dissolvable };
 }
 
+// The groups that are being formed, with those members that have an entry.
 function formingGroups(
   { formations }: GroupBeliefs,
   hosts: readonly HostEntry[],
--- a/packages/entry/src/groups/fleet-view.ts
+++ b/packages/entry/src/groups/fleet-view.ts
@@ -33,7 +33,7 @@
    * but no other groups are dissolved because of them.
    */
   readonly isReturning: boolean;
-  /** Fabric domains whose entries are returning one by one after an interruption, or were until recently. */
+  /** Fabric domains that lack most of their entries, or did until recently: their hosts may return one by one. */
   readonly lapsed: ReadonlySet<string>;
   /** The model that a host is staging; undefined when it stages none. */
   readonly stagingNow: (hostId: string) => string | undefined;
--- a/packages/entry/src/groups/formation-plan.ts
+++ b/packages/entry/src/groups/formation-plan.ts
@@ -34,8 +34,8 @@
 const LOADING_GROUP_WEIGHT = 0.2;
 
 /**
- * Penalty for choosing a slow host, in milliseconds; above any load time, so that slow hosts are chosen last. A
- * slow host makes its whole group slow for as long as it is slow itself.
+ * Penalty for choosing a slow host, compared with load times, in milliseconds: a slow host makes its whole group
+ * slow for as long as it is slow itself, so that it is chosen last.
  */
 const SLOW_HOST_PENALTY_MS = 60_000;
 
--- a/packages/entry/src/groups/free-hosts.ts
+++ b/packages/entry/src/groups/free-hosts.ts
@@ -13,19 +13,19 @@
 }
 
 /**
- * True when the host may be ordered into a new group. `awaited` is the result of {@link awaitedHosts}, computed
+ * True when the host may be ordered into a new group. `inFormation` is the result of {@link awaitedHosts}, computed
  * once for all hosts: a thousand formations are in progress when a fleet of 3,000 hosts starts.
  */
 export function isFree(
   host: HostEntry,
   known: GroupBeliefs,
-  awaited: ReadonlySet<string>,
+  inFormation: ReadonlySet<string>,
 ): boolean {
   if (!host.accepting || known.busy.has(host.id) || known.silent.has(host.id)) {
     return false;
   }
   // The entry of a host in a formation may still name the previous group.
-  if (awaited.has(host.id)) {
+  if (inFormation.has(host.id)) {
     return false;
   }
   const membership = host.membership;
--- a/packages/entry/src/groups/plans.test.ts
+++ b/packages/entry/src/groups/plans.test.ts
@@ -123,7 +123,7 @@
     expect(modelsOf(planned)).to.include.members(['large', 'small']);
   });
 
-  it('makes the host that is warm first the head, whatever its selection cost', () => {
+  it('makes the host that becomes warm first the head, whatever its selection cost', () => {
     const cold = (left: number, change: HostEntry): HostEntry => ({ ...change, coldLeftMs: left });
     const chosen = [
       cold(2_000, host('small')),
@@ -145,8 +145,8 @@
     const staged = fc.constantFrom(undefined, 'large', 'small');
     const anyDomain = fc.array(staged, { maxLength: 9 });
     fc.assert(
-      fc.property(fc.array(anyDomain, { maxLength: 4 }), given => {
-        const domains = given.map((models, index) =>
+      fc.property(fc.array(anyDomain, { maxLength: 4 }), stagedByDomain => {
+        const domains = stagedByDomain.map((models, index) =>
           domain(
             `d${index}`,
             models.map(model => host(model)),
@@ -330,7 +330,7 @@
     expect(loads.filter(one => back.includes(one))).to.deep.equal([]);
   });
 
-  it('evicts no copy that a group needs which a running load completes', () => {
+  it('evicts no copy from a group that a running load completes', () => {
     const staging = host();
     const evictedCopies = (copies: number): number => {
       const staged = hosts(copies, 'large');
--- a/packages/entry/src/groups/staging-plan.ts
+++ b/packages/entry/src/groups/staging-plan.ts
@@ -194,6 +194,7 @@
   return stageable.length < missing ? [] : candidateOf(view, stageable, model, netGain, missing);
 }
 
+// Proposes the host with the fewest copies to evict; empty when there is no host or no gain.
 function candidateOf(
   view: FleetView,
   hosts: readonly HostEntry[],
