--- a/packages/entry/src/groups/accepted-orders.test.ts
+++ b/packages/entry/src/groups/accepted-orders.test.ts
@@ -1,4 +1,4 @@
-/** Orders that hosts have accepted a moment ago. */
+/** Tests that an order that a host has just accepted is not sent again. */
 import { expect } from 'chai';
 
 import { testHost } from '../testing/groups.js';
@@ -8,7 +8,7 @@
 const JOIN: HostOrder = { kind: 'join', group: 'g1', epoch: 1, model: 'm', members: ['h1'] };
 
 describe('accepted orders', () => {
-  it('are not sent again until the entry of the host may show them', () => {
+  it('count as recent until the entry of the host shows their effect', () => {
     const orders = new AcceptedOrders();
     orders.note(testHost('h1'), JOIN, 0);
     expect(orders.isRecent(testHost('h1'), JOIN, 900)).to.equal(true);
@@ -16,13 +16,13 @@
     expect(orders.isRecent(testHost('h1'), JOIN, 901)).to.equal(false);
   });
 
-  it('bind one start of a host, not the next one under its id', () => {
+  it('belong to one incarnation of a host, not to the next one with its id', () => {
     const orders = new AcceptedOrders();
     orders.note(testHost('h1', { startedAt: 1 }), JOIN, 0);
     expect(orders.isRecent(testHost('h1', { startedAt: 2 }), JOIN, 1)).to.equal(false);
   });
 
-  it('are forgotten soon, however many hosts come and go', () => {
+  it('are forgotten soon, however many hosts are added and removed', () => {
     const orders = new AcceptedOrders();
     for (let index = 0; index < 5_000; index++) {
       orders.note(testHost(`h${index}`), JOIN, index * 10);
--- a/packages/entry/src/groups/epoch-series.ts
+++ b/packages/entry/src/groups/epoch-series.ts
@@ -1,41 +1,41 @@
 /**
- * Epochs of new groups: always above those of any earlier holder of the lease, also of one that a store has
- * forgotten by coming back from an older copy.
+ * Generates the epochs of new groups. They are always higher than those of any earlier lease holder, even of one that
+ * the store no longer knows because it was restored from an older copy.
  *
- * An epoch is made of the revision at which the lease was last renewed, which nobody else can have, and a counter
- * below it. The era of the revision stands in the high part.
+ * An epoch is made of three parts, from high to low: the era and the number of the revision at which the lease was
+ * last renewed, which no other lease holder can have, and a counter.
  */
 import type { Revision } from '@hingescale/core';
 import { eraOf, isLaterRevision, numberInEra } from '@hingescale/core';
 
-/** Epochs that one renewal gives; the next renewal, a second later, gives as many. */
+/** Range of the counter, which starts again at each renewal of the lease, about once a second. */
 const EPOCHS_PER_RENEWAL = 2 ** 12;
-/** Revision numbers of an era that fit; a decade of twenty-five changes a second. */
+/** Range of the revision numbers of an era: enough for ten years at twenty-five changes a second. */
 const NUMBERS_PER_ERA = 2 ** 33;
 /**
- * Eras that fit into exact whole numbers above these; the first is left to epochs of earlier releases, which had
- * no era.
+ * Number of eras that fit above the other parts in an exact integer (53 bits). The lowest value of the era part is
+ * reserved for epochs of earlier releases, which had no era.
  */
-const MOST_ERAS = 2 ** 8 - 1;
+const MAX_ERAS = 2 ** 8 - 1;
 
-/** Gives each group an epoch of its own. */
+/** Generates a unique, increasing epoch for each group. */
 export class EpochSeries {
   #revision = -1;
-  #given = 0;
+  #issued = 0;
 
-  /** The next epoch under a lease that was last renewed at `revision`; undefined when it has none left. */
+  /** The next epoch under a lease that was last renewed at `revision`; undefined when no epoch is left. */
   next(revision: Revision): number | undefined {
     if (isLaterRevision(revision, this.#revision)) {
       this.#revision = revision;
-      this.#given = 0;
+      this.#issued = 0;
     }
     const era = eraOf(this.#revision);
     const number = numberInEra(this.#revision);
-    const isExhausted = this.#given === EPOCHS_PER_RENEWAL - 1;
-    if (isExhausted || era >= MOST_ERAS || number >= NUMBERS_PER_ERA) {
+    const isExhausted = this.#issued === EPOCHS_PER_RENEWAL - 1;
+    if (isExhausted || era >= MAX_ERAS || number >= NUMBERS_PER_ERA) {
       return undefined;
     }
-    this.#given += 1;
-    return ((era + 1) * NUMBERS_PER_ERA + number) * EPOCHS_PER_RENEWAL + this.#given;
+    this.#issued += 1;
+    return ((era + 1) * NUMBERS_PER_ERA + number) * EPOCHS_PER_RENEWAL + this.#issued;
   }
 }
--- a/packages/entry/src/groups/group-beliefs.ts
+++ b/packages/entry/src/groups/group-beliefs.ts
@@ -1,85 +1,89 @@
-/** What the order giver remembers between two plans; entries of hosts tell the rest. */
+/** What the lease holder remembers from one plan to the next; it reads the rest from the entries of hosts. */
 import type { HostEntry, HostIncarnation } from '../hosts/host-entry.js';
 import { isSameStart } from '../hosts/host-entry.js';
 import type { HostOrder } from './host-orders.js';
 
-/** A formation that this order giver has begun. */
+/** A formation that this lease holder has begun. */
 export type Formation = {
   readonly group: string;
   readonly epoch: number;
   readonly model: string;
   /** Host ids, head first. */
   readonly members: readonly string[];
-  /** The members as they were when it began: one that starts again meanwhile holds no part of it. */
+  /** The incarnations of the members when it began: a member that restarts has lost its part of the group. */
   readonly starts?: readonly HostIncarnation[];
   readonly fabricDomain: string | undefined;
-  /** Members that load from the weight store. */
+  /** Number of members that load from the weight store. */
   readonly loads: number;
-  /** Monotonic milliseconds after which it is given up. */
+  /** Monotonic time in milliseconds after which the formation is given up. */
   readonly deadline: number;
 };
 
-/** A model that is being brought onto a host. */
+/** The staging of a model's weights on a host, or the pause before it is ordered again. */
 export type Staging = {
   readonly model: string;
-  /** The host as it was when it began; undefined while it only waits to be tried again. */
+  /** The host's entry when the staging was ordered; undefined during a pause after the host refused it. */
   readonly host?: HostEntry;
-  /** When it was ordered, in monotonic milliseconds. */
+  /** When the staging was ordered or refused, in monotonic milliseconds. */
   readonly since: number;
-  /** Monotonic milliseconds after which it is asked again. */
+  /** Monotonic time in milliseconds after which the staging may be ordered again. */
   readonly deadline: number;
 };
 
-/** The head a group was last seen with. */
+/** The last observed head of a group. */
 export type KnownHead = {
+  /** The head's last entry; its id is empty where only other members of the group were ever observed. */
   readonly host: HostEntry;
-  /** Monotonic milliseconds since when its entry does not name the group any more. */
+  /** Monotonic time in milliseconds since which no entry names it as the head; undefined while one does. */
   readonly missingSince: number | undefined;
-  /** It confirmed that it has left the group. */
+  /** True once the head has confirmed an order to leave the group, or its entry shows that it has left. */
   readonly left: boolean;
 };
 
-/** Beliefs, by group name or host id. */
+/** The known state of a service's groups and hosts, by group name or host id. */
 export type GroupBeliefs = {
+  /** Formations under way, by group name. */
   readonly formations: ReadonlyMap<string, Formation>;
-  /** Groups that are dissolved for others, with the time since when (monotonic milliseconds). */
+  /** Groups that are being dissolved to free hosts for others, with the start time (monotonic milliseconds). */
   readonly dissolving: ReadonlyMap<string, number>;
+  /** Stagings, by host id. */
   readonly stagings: ReadonlyMap<string, Staging>;
+  /** Last observed heads, by group name. */
   readonly heads: ReadonlyMap<string, KnownHead>;
-  /** When a group was first seen without all its members (monotonic milliseconds). */
+  /** When a group was first observed without all its members (monotonic milliseconds). */
   readonly incompleteSince: ReadonlyMap<string, number>;
-  /** Hosts that did not answer when asked, with the time since when (monotonic milliseconds). */
+  /** Hosts that did not answer a probe, with the time of that probe (monotonic milliseconds). */
   readonly silent: ReadonlyMap<string, number>;
-  /** Hosts that said that they are slow; a group runs at the pace of its slowest member. */
+  /** Hosts that last reported that they are slow; a group runs at the pace of its slowest member. */
   readonly slow: ReadonlySet<string>;
-  /** Hosts that answer again since a moment ago. */
+  /** Hosts that began to answer probes again within the last two seconds. */
   readonly justBack: ReadonlySet<string>;
-  /** Hosts whose entries went but that still answer. */
+  /** Hosts that answer probes although their entries have been removed, with their last entries. */
   readonly unlisted: ReadonlyMap<string, HostEntry>;
-  /** Hosts whose entries went a moment ago and that are being asked whether they answer. */
+  /** Hosts whose entries were removed so recently that the result of their probe is not known yet. */
   readonly beingAsked: readonly HostEntry[];
-  /** The store came back a moment ago: hosts without an entry may live, and be back soon. */
+  /** True shortly after an outage of the store: hosts without an entry may be running and write one soon. */
   readonly entriesMayReturn: boolean;
-  /** Fabric domains that lack most of their entries, or did a moment ago. */
+  /** Fabric domains that lack, or lacked until recently, most of the entries of their hosts. */
   readonly lapsedDomains: ReadonlySet<string>;
-  /** Failure domains that are evacuated. */
+  /** Failure domains under evacuation. */
   readonly evacuatedDomains: ReadonlySet<string>;
-  /** A failure domain has come back into use a moment ago, and its hosts may be cold. */
+  /** True while the evacuation of a failure domain has ended so recently that its hosts may be cold. */
   readonly isReturning: boolean;
-  /** Hosts with an order under way. */
+  /** Ids of hosts with an order under way. */
   readonly busy: ReadonlySet<string>;
-  /** Loads from the weight store that may begin now. */
+  /** Number of loads from the weight store that may begin now. */
   readonly loadsLeft: number;
 };
 
-/** An order with its receiver, and why it is given. */
+/** An order, the host that it is for, and the reason for it. */
 export type PlannedOrder = {
   readonly host: HostEntry;
   readonly order: HostOrder;
   readonly reason: OrderReason;
 };
 
-/** Why an order is given. */
+/** The reason for an order. */
 export type OrderReason =
   | 'members-ready'
   | 'member-lost'
@@ -88,11 +92,11 @@
   | 'formation-expired'
   | 'group-broken'
   | 'form'
-  /** The hosts are worth more in another group. */
+  /** The hosts are of more use in another group. */
   | 'needed-elsewhere'
   | 'spare';
 
-/** True when the host's process has started again since; `entry` is its present one. */
+/** True when the host has restarted since the incarnation `start`; `entry` is the host's current entry. */
 export function hasRestarted(
   start: HostIncarnation | undefined,
   entry: HostEntry | undefined,
--- a/packages/entry/src/groups/group-repair.test.ts
+++ b/packages/entry/src/groups/group-repair.test.ts
@@ -20,27 +20,27 @@
 }
 
 function repair(hosts: readonly HostEntry[], change: Partial<GroupBeliefs> = {}): string {
-  const beliefs = testBeliefs(change);
+  const known = testBeliefs(change);
   const [group] = replicaGroups(hosts);
-  const planned = group === undefined ? undefined : repairOf(group, PROFILE, beliefs, 10_000);
+  const planned = group === undefined ? undefined : repairOf(group, PROFILE, known, 10_000);
   return planned === undefined ? 'nothing' : `${planned.order.kind} ${planned.reason}`;
 }
 
 function release(change: Partial<GroupBeliefs>, missingForMs: number): readonly string[] {
   const head = { host: member('h', 0, 'open'), missingSince: 10_000 - missingForMs, left: false };
-  const beliefs = testBeliefs({ heads: new Map([['g', head]]), ...change });
+  const known = testBeliefs({ heads: new Map([['g', head]]), ...change });
   const members = [member('x', 1, 'ready')];
   const [group] = replicaGroups(members);
-  const planned = group === undefined ? [] : releaseOf(group, beliefs, 10_000);
+  const planned = group === undefined ? [] : releaseOf(group, known, 10_000);
   return planned.map(({ host, order }) => `${host.id} ${order.kind}`);
 }
 
 describe('release of the members of a group without its head', () => {
-  it('makes them leave, since the head may serve where nobody here sees it', () => {
+  it('orders them to leave, since the head may still serve requests', () => {
     expect(release({}, 5_000)).to.deep.equal(['x leave']);
   });
 
-  it('does not wait for the entry to go where the head itself does not answer', () => {
+  it('does not wait until the entry is removed where the head itself does not answer', () => {
     const open = [member('h', 0, 'open'), member('x', 1, 'ready')];
     const [group] = replicaGroups(open);
     const released = (silentForMs: number): readonly string[] => {
@@ -52,84 +52,87 @@
     expect(released(1_000)).to.deep.equal(['x leave']);
   });
 
-  it('waits while the entry of the head may be back', () => {
+  it('waits while the entry of the head may be written again', () => {
     expect(release({}, 1_000)).to.deep.equal([]);
     expect(release({ entriesMayReturn: true }, 5_000)).to.deep.equal([]);
   });
 
-  it('waits where most entries of the fabric domain went at once, as in a cut', () => {
+  it('waits where most entries of the fabric domain were removed at once, as in a network partition', () => {
     expect(release({ lapsedDomains: new Set(['d0']) }, 5_000)).to.deep.equal([]);
     expect(release({ lapsedDomains: new Set(['d1']) }, 5_000)).to.deep.equal(['x leave']);
   });
 
-  it('waits where a member has only just answered again: so may the head', () => {
+  it('waits where a member has only just begun to answer again, since the head may do so too', () => {
     const open = [member('h', 0, 'open'), member('x', 1, 'ready')];
     const [group] = replicaGroups(open);
     const silent = new Map([['h', 5_000]]);
-    const beliefs = testBeliefs({ silent, justBack: new Set(['x']) });
-    expect(group === undefined ? undefined : releaseOf(group, beliefs, 10_000)).to.deep.equal([]);
+    const known = testBeliefs({ silent, justBack: new Set(['x']) });
+    expect(group === undefined ? undefined : releaseOf(group, known, 10_000)).to.deep.equal([]);
   });
 });
 
 describe('repair of a group', () => {
-  it('waits for the answer of a member whose entry went, and goes by it', () => {
+  it('waits for the answer of a member whose entry was removed, and decides by it', () => {
     const hosts = [member('h', 0, 'open')];
-    const gone = member('x', 1, 'ready');
-    expect(repair(hosts, { beingAsked: [gone] })).to.equal('nothing');
-    expect(repair(hosts, { unlisted: new Map([['x', gone]]) })).to.equal('nothing');
+    const departed = member('x', 1, 'ready');
+    expect(repair(hosts, { beingAsked: [departed] })).to.equal('nothing');
+    expect(repair(hosts, { unlisted: new Map([['x', departed]]) })).to.equal('nothing');
     expect(repair(hosts, {})).to.equal('leave member-lost');
   });
 
   const open = [member('h', 0, 'open'), member('x', 1, 'ready')];
 
-  it('leaves a whole group alone', () => {
+  it('plans no order for a complete group', () => {
     expect(repair(open)).to.equal('nothing');
   });
 
-  it('dissolves it at the head when a member is gone or silent', () => {
+  it('orders the head to leave when a member is missing or does not answer', () => {
     expect(repair([member('h', 0, 'open')])).to.equal('leave member-lost');
     expect(repair(open, { silent: new Map([['x', 9_000]]) })).to.equal('leave member-lost');
   });
 
-  it('keeps it after an outage of the store while the entry of a member may be back', () => {
-    const alone = [member('h', 0, 'open')];
-    expect(repair(alone, { entriesMayReturn: true })).to.equal('nothing');
+  it('keeps the group after an outage of the store while the entry of a member may be written again', () => {
+    const headOnly = [member('h', 0, 'open')];
+    expect(repair(headOnly, { entriesMayReturn: true })).to.equal('nothing');
     expect(repair(open, { entriesMayReturn: true, silent: new Map([['x', 9_000]]) })).to.equal(
       'leave member-lost',
     );
   });
 
-  it('keeps it while a member whose entry went still answers', () => {
+  it('keeps the group while a member whose entry was removed still answers', () => {
     const unlisted = new Map([['x', member('x', 1, 'ready')]]);
     expect(repair([member('h', 0, 'open')], { unlisted })).to.equal('nothing');
   });
 
-  it('leaves it alone when the head is out of reach, or was until a moment ago', () => {
-    const silentHeads = new Map([
+  it('plans no order when the head is unreachable, or was until a moment ago', () => {
+    const unresponsive = new Map([
       ['h', 9_000],
       ['x', 9_000],
     ]);
-    expect(repair(open, { silent: silentHeads })).to.equal('nothing');
+    expect(repair(open, { silent: unresponsive })).to.equal('nothing');
     const justBack = new Set(['h']);
     expect(repair(open, { silent: new Map([['x', 9_000]]), justBack })).to.equal('nothing');
   });
 
-  it('closes it when a member is leaving, so that requests in progress finish', () => {
+  it('closes the group when a member is leaving, so that requests in progress finish', () => {
     const leaving = [member('h', 0, 'open'), member('x', 1, 'ready', false)];
     expect(repair(leaving)).to.equal('close member-leaving');
   });
 
-  it('lets requests finish for a while before it dissolves a group for another', () => {
+  it('gives requests time to finish before it dissolves a group for another', () => {
     const closing = [member('h', 0, 'closing'), member('x', 1, 'ready')];
-    const since = (ms: number): ReadonlyMap<string, number> => new Map([['g', 10_000 - ms]]);
-    expect(repair(open, { dissolving: since(0) })).to.equal('close needed-elsewhere');
-    expect(repair(closing, { dissolving: since(300) })).to.equal('nothing');
-    expect(repair(closing, { dissolving: since(1_000) })).to.equal('leave needed-elsewhere');
+    const dissolvingFor = (ms: number): ReadonlyMap<string, number> =>
+      new Map([['g', 10_000 - ms]]);
+    expect(repair(open, { dissolving: dissolvingFor(0) })).to.equal('close needed-elsewhere');
+    expect(repair(closing, { dissolving: dissolvingFor(300) })).to.equal('nothing');
+    expect(repair(closing, { dissolving: dissolvingFor(1_000) })).to.equal(
+      'leave needed-elsewhere',
+    );
     const done = [member('h', 0, 'ready'), member('x', 1, 'ready')];
-    expect(repair(done, { dissolving: since(300) })).to.equal('leave needed-elsewhere');
+    expect(repair(done, { dissolving: dissolvingFor(300) })).to.equal('leave needed-elsewhere');
   });
 
-  it('opens it when all members are ready', () => {
+  it('opens the group when all members are ready', () => {
     const ready = [member('h', 0, 'ready'), member('x', 1, 'ready')];
     expect(repair(ready)).to.equal('open members-ready');
   });
--- a/packages/entry/src/groups/group-repair.ts
+++ b/packages/entry/src/groups/group-repair.ts
@@ -1,4 +1,4 @@
-/** Decides what existing groups need: open, close, or dissolve at the head. Pure. */
+/** Decides which orders existing groups need: to open, to close, or to leave. Has no side effects. */
 import type { EngineProfile } from '../configuration/serving-configuration.js';
 import type { HostEntry } from '../hosts/host-entry.js';
 import { fabricDomainOf } from './fabric-domain.js';
@@ -8,129 +8,131 @@
 import type { ReplicaGroup } from './replica-groups.js';
 import { headState } from './replica-groups.js';
 
-/** Time in which a head whose entry went may be back, in milliseconds. */
-const HEADLESS_MS = 2_300;
-/** Time for which a head has to be silent although its entry is still there, in milliseconds. */
-const HEAD_SILENT_MS = 900;
+/** Time in which a removed entry of a head may be written again, in milliseconds; the head is lost after it. */
+const HEAD_MISSING_MS = 2_300;
+/** Time after which a head that does not answer is lost although its entry is still there, in milliseconds. */
+const HEAD_UNRESPONSIVE_MS = 900;
 /**
  * Time that requests have to finish at a group that is dissolved for another, in milliseconds. Most
- * streams take about a second; those that are cut after it go on at other groups.
+ * streams take about a second; those that are cut at its end are resumed at other groups.
  */
 const DISSOLUTION_GRACE_MS = 800;
-/** Time that a group of another order giver has to become complete, in milliseconds. */
-const FOREIGN_FORMATION_MS = 3_000;
+/** Time that a group whose formation another lease holder began has to become complete, in milliseconds. */
+const INHERITED_FORMATION_MS = 3_000;
 
-/** What a group needs now; undefined when it can be left alone. */
+/** The order that a group's head needs now; undefined when none. `now` is in monotonic milliseconds. */
 export function repairOf(
   group: ReplicaGroup,
   profile: EngineProfile,
-  beliefs: GroupBeliefs,
+  known: GroupBeliefs,
   now: number,
 ): PlannedOrder | undefined {
   const head = group.head;
   if (head === undefined) {
     return undefined;
   }
-  // An unreachable head may be well, and so may members that were asked while it was.
-  if (beliefs.silent.has(head.id) || beliefs.justBack.has(head.id)) {
+  // An unreachable head may be working, and so may members that were probed while it was unreachable.
+  if (known.silent.has(head.id) || known.justBack.has(head.id)) {
     return undefined;
   }
-  const dissolvingSince = beliefs.dissolving.get(group.name);
+  const dissolvingSince = known.dissolving.get(group.name);
   if (dissolvingSince !== undefined) {
     return advanceDissolution(group, head, now - dissolvingSince);
   }
-  const size = sizeOf(group, profile, beliefs);
+  const size = sizeOf(group, profile, known);
   switch (headState(group)) {
     case 'open':
-      return repairOpen(group, head, size, beliefs);
+      return repairOpen(group, head, size, known);
     case 'closing':
-      return memberLost(group, size, beliefs) ? leave(group, head, 'member-lost') : undefined;
+      return isMemberLost(group, size, known) ? planLeave(group, head, 'member-lost') : undefined;
     case 'broken':
-      return leave(group, head, 'group-broken');
+      return planLeave(group, head, 'group-broken');
     default:
-      return advanceFormation(group, head, size, beliefs, now);
+      return advanceFormation(group, head, size, known, now);
   }
 }
 
-/** What members of a group whose head is unreachable have to do before they go elsewhere. */
+/** Orders that make the members of a group with a lost head leave it, so that they may join other groups. */
 export function releaseOf(
   group: ReplicaGroup,
-  beliefs: GroupBeliefs,
+  known: GroupBeliefs,
   now: number,
 ): readonly PlannedOrder[] {
-  const known = beliefs.heads.get(group.name);
-  const unsure = entriesMayReturn(group, beliefs) || isJustBack(group, beliefs);
-  if (unsure || known?.left === true || !isHeadLost(group, beliefs, now)) {
+  const knownHead = known.heads.get(group.name);
+  const isUncertain = entriesMayReturn(group, known) || hasRecoveredMember(group, known);
+  if (isUncertain || knownHead?.left === true || !isHeadLost(group, known, now)) {
     return [];
   }
-  const others = group.members.filter(member => member !== undefined && member !== group.head);
-  return others
+  const followers = group.members.filter(member => member !== undefined && member !== group.head);
+  return followers
     .filter(member => member !== undefined)
-    .filter(member => !beliefs.silent.has(member.id))
-    .map(member => leave(group, member, 'head-lost'));
+    .filter(member => !known.silent.has(member.id))
+    .map(member => planLeave(group, member, 'head-lost'));
 }
 
-// A dead host's entry stays for some heartbeats. Where the head is merely cut off from this process
-// its group breaks too, but members that wait for a dead head serve nobody.
-function isHeadLost(group: ReplicaGroup, beliefs: GroupBeliefs, now: number): boolean {
+// The entry of a crashed host stays for some heartbeats, so a head that does not answer counts as lost before its entry
+// is removed. Where the head is only cut off from this process, its group is broken up too; that is accepted, since
+// members that wait for a crashed head serve no requests.
+function isHeadLost(group: ReplicaGroup, known: GroupBeliefs, now: number): boolean {
   if (group.head !== undefined) {
-    const silentSince = beliefs.silent.get(group.head.id);
-    return silentSince !== undefined && now - silentSince > HEAD_SILENT_MS;
+    const silentSince = known.silent.get(group.head.id);
+    return silentSince !== undefined && now - silentSince > HEAD_UNRESPONSIVE_MS;
   }
-  const since = beliefs.heads.get(group.name)?.missingSince;
-  return since !== undefined && now - since >= HEADLESS_MS;
+  const since = known.heads.get(group.name)?.missingSince;
+  return since !== undefined && now - since >= HEAD_MISSING_MS;
 }
 
-// After an outage of the store, or a cut of the group's hosts from it, missing entries say nothing.
-function entriesMayReturn(group: ReplicaGroup, beliefs: GroupBeliefs): boolean {
+// After an outage of the store, or a network partition between it and the group's hosts, a missing entry does not show
+// that its host is lost.
+function entriesMayReturn(group: ReplicaGroup, known: GroupBeliefs): boolean {
   const [anyMember] = group.members.filter(member => member !== undefined);
   const domain = anyMember === undefined ? undefined : fabricDomainOf(anyMember);
-  return beliefs.entriesMayReturn || (domain !== undefined && beliefs.lapsedDomains.has(domain));
+  return known.entriesMayReturn || (domain !== undefined && known.lapsedDomains.has(domain));
 }
 
-// When a cut heals, members answer again a moment before their head is asked once more.
-function isJustBack({ members }: ReplicaGroup, { justBack }: GroupBeliefs): boolean {
+// When a network partition ends, members may answer again shortly before their head is probed again.
+function hasRecoveredMember({ members }: ReplicaGroup, { justBack }: GroupBeliefs): boolean {
   return members.some(member => member !== undefined && justBack.has(member.id));
 }
 
-/** Hosts that the group's model needs; undefined while the model is not known. */
+/** Number of hosts that the group's model needs; undefined while the model is not known. */
 export function sizeOf(
   group: ReplicaGroup,
   profile: EngineProfile,
-  beliefs: GroupBeliefs,
+  known: GroupBeliefs,
 ): number | undefined {
-  const formation = beliefs.formations.get(group.name);
+  const formation = known.formations.get(group.name);
   const model = formation?.model ?? group.model;
   return profile.models.find(candidate => candidate.name === model)?.size;
 }
 
-// New requests go elsewhere at once, and what runs may finish within the grace time.
+// New requests are sent to other groups at once; requests in progress may finish within the grace time.
 function advanceDissolution(
   group: ReplicaGroup,
   head: HostEntry,
-  forMs: number,
+  elapsedMs: number,
 ): PlannedOrder | undefined {
   const state = headState(group);
-  const finishing = forMs < DISSOLUTION_GRACE_MS;
-  if (state === 'open' && finishing) {
-    const order: HostOrder = { kind: 'close', ...idOf(group), manner: 'pending' };
+  const isWithinGrace = elapsedMs < DISSOLUTION_GRACE_MS;
+  if (state === 'open' && isWithinGrace) {
+    const order: HostOrder = { kind: 'close', ...groupIdOf(group), manner: 'pending' };
     return { host: head, order, reason: 'needed-elsewhere' };
   }
-  const waiting = state === 'closing' && finishing;
-  return waiting ? undefined : leave(group, head, 'needed-elsewhere');
+  const isFinishing = state === 'closing' && isWithinGrace;
+  return isFinishing ? undefined : planLeave(group, head, 'needed-elsewhere');
 }
 
 function repairOpen(
   group: ReplicaGroup,
   head: HostEntry,
   size: number | undefined,
-  beliefs: GroupBeliefs,
+  known: GroupBeliefs,
 ): PlannedOrder | undefined {
-  if (memberLost(group, size, beliefs)) {
-    return leave(group, head, 'member-lost');
+  if (isMemberLost(group, size, known)) {
+    return planLeave(group, head, 'member-lost');
   }
   if (group.members.some(member => member !== undefined && !member.accepting)) {
-    const order: HostOrder = { kind: 'close', ...idOf(group), manner: 'pending' };
+    const order: HostOrder = { kind: 'close', ...groupIdOf(group), manner: 'pending' };
     return { host: head, order, reason: 'member-leaving' };
   }
   return undefined;
@@ -140,73 +142,77 @@
   group: ReplicaGroup,
   head: HostEntry,
   size: number | undefined,
-  beliefs: GroupBeliefs,
+  known: GroupBeliefs,
   now: number,
 ): PlannedOrder | undefined {
   const present = group.members.filter(member => member !== undefined);
-  if (present.some(member => !member.accepting || beliefs.silent.has(member.id))) {
-    return leave(group, head, 'member-leaving');
+  if (present.some(member => !member.accepting || known.silent.has(member.id))) {
+    return planLeave(group, head, 'member-leaving');
   }
   const allReady = present.every(member => member.membership?.state === 'ready');
   if (size !== undefined && present.length === size && allReady) {
-    return { host: head, order: { kind: 'open', ...idOf(group) }, reason: 'members-ready' };
+    return { host: head, order: { kind: 'open', ...groupIdOf(group) }, reason: 'members-ready' };
   }
-  return formationExpired(group, size, beliefs, now)
-    ? leave(group, head, 'formation-expired')
+  return isFormationExpired(group, size, known, now)
+    ? planLeave(group, head, 'formation-expired')
     : undefined;
 }
 
-function formationExpired(
+function isFormationExpired(
   group: ReplicaGroup,
   size: number | undefined,
-  beliefs: GroupBeliefs,
+  known: GroupBeliefs,
   now: number,
 ): boolean {
-  const formation: Formation | undefined = beliefs.formations.get(group.name);
+  const formation: Formation | undefined = known.formations.get(group.name);
   if (formation !== undefined) {
-    return now > formation.deadline || formation.members.some(id => beliefs.silent.has(id));
+    return now > formation.deadline || formation.members.some(id => known.silent.has(id));
   }
   const present = group.members.filter(member => member !== undefined);
   if (size === undefined || present.length < size) {
-    const since = beliefs.incompleteSince.get(group.name);
-    const waited = since !== undefined && now - since > FOREIGN_FORMATION_MS;
-    return waited && !entriesMayReturn(group, beliefs);
+    const since = known.incompleteSince.get(group.name);
+    const isOverdue = since !== undefined && now - since > INHERITED_FORMATION_MS;
+    return isOverdue && !entriesMayReturn(group, known);
   }
   return false;
 }
 
-// A member is lost when nobody holds its place, or when it does not answer.
-function memberLost(group: ReplicaGroup, size: number | undefined, beliefs: GroupBeliefs): boolean {
-  const places = Math.max(size ?? 0, group.members.length);
-  for (let rank = 0; rank < places; rank++) {
+// A member is lost when no host holds its rank, or when the host that holds it does not answer.
+function isMemberLost(group: ReplicaGroup, size: number | undefined, known: GroupBeliefs): boolean {
+  const rankCount = Math.max(size ?? 0, group.members.length);
+  for (let rank = 0; rank < rankCount; rank++) {
     const member = group.members[rank];
     if (member === undefined) {
-      if (!entriesMayReturn(group, beliefs) && !heldByAbsent(group, rank, beliefs)) {
+      if (!entriesMayReturn(group, known) && !isHeldWithoutEntry(group, rank, known)) {
         return true;
       }
-    } else if (beliefs.silent.has(member.id)) {
+    } else if (known.silent.has(member.id)) {
       return true;
     }
   }
   return false;
 }
 
-// A host that is cut off from the store loses its entry and serves on. It is lost once it was asked and
-// did not answer; before that the groups of a fifth of all hosts were dissolved in such a cut.
-function heldByAbsent(group: ReplicaGroup, rank: number, beliefs: GroupBeliefs): boolean {
-  for (const host of [...beliefs.unlisted.values(), ...beliefs.beingAsked]) {
-    const place = host.membership;
-    if (place?.group === group.name && place.epoch === group.epoch && place.rank === rank) {
-      return !beliefs.silent.has(host.id);
+// A host that is cut off from the store loses its entry but continues to serve. It counts as lost only once it has not
+// answered a probe. Without this rule, such a cut dissolved the groups of a fifth of all hosts.
+function isHeldWithoutEntry(group: ReplicaGroup, rank: number, known: GroupBeliefs): boolean {
+  for (const host of [...known.unlisted.values(), ...known.beingAsked]) {
+    const membership = host.membership;
+    if (
+      membership?.group === group.name &&
+      membership.epoch === group.epoch &&
+      membership.rank === rank
+    ) {
+      return !known.silent.has(host.id);
     }
   }
   return false;
 }
 
-function leave(group: ReplicaGroup, head: HostEntry, reason: OrderReason): PlannedOrder {
-  return { host: head, order: { kind: 'leave', ...idOf(group) }, reason };
+function planLeave(group: ReplicaGroup, host: HostEntry, reason: OrderReason): PlannedOrder {
+  return { host, order: { kind: 'leave', ...groupIdOf(group) }, reason };
 }
 
-function idOf(group: ReplicaGroup): { readonly group: string; readonly epoch: number } {
+function groupIdOf(group: ReplicaGroup): { readonly group: string; readonly epoch: number } {
   return { group: group.name, epoch: group.epoch };
 }
--- a/packages/entry/src/groups/group-suspicions.ts
+++ b/packages/entry/src/groups/group-suspicions.ts
@@ -1,4 +1,4 @@
-/** Tells the host that gives orders, and the other entry hosts, that a group may be lost, slow or about to end. */
+/** Reports to the lease holder and to the other entry hosts that a group may be lost, slow or about to end. */
 import type { HostEntry } from '../hosts/host-entry.js';
 import type { Peers } from '../peers/peers.js';
 import type { Counters } from '../server/metrics.js';
@@ -6,13 +6,14 @@
 
 /** Options of {@link GroupSuspicions}. */
 export type GroupSuspicionsOptions = {
-  /** Undefined where this entry host knows no others: then it gives the orders itself. */
+  /** Undefined where this entry host has no peers: then it sends the orders itself. */
   readonly peers: () => Pick<Peers, 'suspect'> | undefined;
+  /** Plans the groups on this entry host; it acts only while this entry host holds the lease. */
   readonly coordinator: () => Pick<Coordinator, 'suspect'>;
   readonly counters: Counters;
 };
 
-/** Passes suspicions on. */
+/** Sends suspicions to the peers, or to the own coordinator where there are none. */
 export class GroupSuspicions {
   readonly #options: GroupSuspicionsOptions;
 
@@ -20,7 +21,10 @@
     this.#options = options;
   }
 
-  /** Hosts of plain services are in no group; each entry host leaves them by what it hears itself. */
+  /**
+   * Reports the group of a host. Does nothing for hosts of plain services, which are in no group: each entry host
+   * stops using those by its own observations.
+   */
   suspect(host: HostEntry, group: string | undefined, isUnreachable: boolean): void {
     if (group === undefined) {
       return;
@@ -28,11 +32,11 @@
     const { peers, coordinator, counters } = this.#options;
     const { id: targetHost, service, failureDomain: targetDomain } = host;
     counters.count('groups_suspected_total');
-    const others = peers();
-    if (others === undefined) {
+    const knownPeers = peers();
+    if (knownPeers === undefined) {
       coordinator().suspect(service, group);
       return;
     }
-    others.suspect(service, { target: group, targetHost, targetDomain, isUnreachable });
+    knownPeers.suspect(service, { target: group, targetHost, targetDomain, isUnreachable });
   }
 }
--- a/packages/entry/src/groups/group-task.test.ts
+++ b/packages/entry/src/groups/group-task.test.ts
@@ -1,4 +1,4 @@
-/** The order giver's epochs. */
+/** Tests that epochs stay unique and rising when one term of the lease forms more than a thousand groups. */
 import { expect } from 'chai';
 
 import type { EngineProfile } from '../configuration/serving-configuration.js';
@@ -13,13 +13,13 @@
 import { MemberProber } from './member-prober.js';
 import { OrderSender } from './order-sender.js';
 
-const GROUPS = 1_100;
-const HOSTS_A_GROUP = 2;
-/** Time after which no more hosts are waited for, in milliseconds; see `settling.ts`. */
+const GROUP_COUNT = 1_100;
+const HOSTS_PER_GROUP = 2;
+/** Time after which the task waits for no more hosts, in milliseconds; see `settling.ts`. */
 const SETTLED_MS = 320;
 
 const PROFILE: EngineProfile = {
-  models: [{ name: 'm', size: HOSTS_A_GROUP, pace: 1, workShare: 1, loadMs: 100, warmMs: 10 }],
+  models: [{ name: 'm', size: HOSTS_PER_GROUP, pace: 1, workShare: 1, loadMs: 100, warmMs: 10 }],
   slots: 1,
   loadsPerSecond: 1,
   loadsAtOnce: 1,
@@ -33,8 +33,8 @@
   return registry;
 }
 
-describe('the order giver of a large fleet', () => {
-  it('gives no epoch of one term again in the next, however many groups it has formed', async () => {
+describe('group task of a large fleet', () => {
+  it('uses no epoch of one term again in the next, however many groups it has formed', async () => {
     const joins: (HostOrder & { kind: 'join' })[] = [];
     const orders: HostOrders = {
       send: (_host, order) => {
@@ -54,9 +54,9 @@
       onAnswer: () => undefined,
       close: () => undefined,
     };
-    const hosts = Array.from({ length: GROUPS * HOSTS_A_GROUP }, (_, index) =>
+    const hosts = Array.from({ length: GROUP_COUNT * HOSTS_PER_GROUP }, (_, index) =>
       testHost(`h${index}`, {
-        fabricDomain: `d${Math.floor(index / HOSTS_A_GROUP)}`,
+        fabricDomain: `d${Math.floor(index / HOSTS_PER_GROUP)}`,
         loadedModel: undefined,
         lastModel: undefined,
       }),
@@ -81,12 +81,12 @@
     await sleep(SETTLED_MS);
     task.step(1);
     await sleep(SETTLED_MS);
-    const first = joins.splice(0).map(({ epoch }) => epoch);
+    const firstEpochs = joins.splice(0).map(({ epoch }) => epoch);
     task.step(2);
     await sleep(SETTLED_MS);
-    const second = joins.map(({ epoch }) => epoch);
-    expect(new Set(first).size).to.equal(GROUPS);
-    expect(new Set(second).size).to.equal(GROUPS);
-    expect(Math.min(...second)).to.be.above(Math.max(...first));
+    const secondEpochs = joins.map(({ epoch }) => epoch);
+    expect(new Set(firstEpochs).size).to.equal(GROUP_COUNT);
+    expect(new Set(secondEpochs).size).to.equal(GROUP_COUNT);
+    expect(Math.min(...secondEpochs)).to.be.above(Math.max(...firstEpochs));
   }).timeout(20_000);
 });
--- a/packages/entry/src/groups/group-task.ts
+++ b/packages/entry/src/groups/group-task.ts
@@ -1,8 +1,8 @@
 /**
- * Gives orders to the hosts of one engine service while this process holds the lease.
+ * Sends orders to the hosts of one engine service while this process holds the lease.
  *
- * It keeps no record of its own in the store: groups are what the hosts tell of themselves, names
- * are never used twice, and epochs rise with the lease's renewals.
+ * It stores nothing itself: groups are read from the entries of their members, names are never
+ * used twice, and epochs rise with the renewals of the lease.
  */
 import type { Revision } from '@hingescale/core';
 import { LapsedDomains } from '@hingescale/core';
@@ -40,19 +40,21 @@
 import { Settling } from './settling.js';
 import { planStagings } from './staging-plan.js';
 
-/** Options of a group task. */
+/** Options of {@link GroupTask}. */
 export type GroupTaskOptions = {
   readonly service: string;
+  /** Models and limits of the service; undefined while it has no engine. */
   readonly profile: () => EngineProfile | undefined;
   readonly registry: HostRegistry;
   readonly sender: OrderSender;
   readonly prober: MemberProber;
-  /** For how long hosts have been followed without an interruption, in milliseconds; undefined: not now. */
+  /** Time for which hosts have been watched without interruption, in milliseconds; undefined while they are not. */
   readonly inTouchForMs: () => number | undefined;
+  /** Window of the limit on loads from the weight store, in milliseconds. */
   readonly loadWindowMs: number;
-  /** True before the first request: then loads are quick and do not count. */
+  /** True before the first request, while loads are fast and not limited by rate. */
   readonly mayLoadFreely: () => boolean;
-  /** True while nothing may be sent to hosts of the failure domain. */
+  /** True while the failure domain is evacuated, so that nothing may be sent to its hosts. */
   readonly isEvacuated: (failureDomain: string) => boolean;
   /** How long hosts usually stay cold, in milliseconds; 0 where they never are. */
   readonly coldMs: () => number;
@@ -60,41 +62,42 @@
   readonly counters: Counters;
 };
 
-/** Time a formation has beyond what its loads should take, in milliseconds. */
+/** Time that a formation has in addition to {@link LOAD_SLACK_FACTOR} times its expected duration, in milliseconds. */
 const FORMATION_SLACK_MS = 4_000;
-/** Time after an outage of the store in which entries that went meanwhile are back. */
+/** Time after an outage of the store in which hosts write their removed entries again, in milliseconds. */
 const ENTRIES_RETURN_MS = 2_300;
-/** Longest time that asking a host takes whose entry went: two questions of 250 ms, and a turn. */
-const DEPARTURE_ASKED_MS = 700;
+/** Longest probe of a host whose entry was removed, in milliseconds: two requests of 250 ms, and some delay. */
+const DEPARTED_PROBE_MS = 700;
+/** Factor on the expected duration of a formation, for its deadline. */
 const LOAD_SLACK_FACTOR = 2;
-/** Loads beyond those that run at full speed, so that none of these places stays empty. */
+/** Loads allowed in addition to those that run in parallel at full speed, so that there are always as many of those. */
 const EXTRA_LOADS = 1;
-/** Pause before a join that was not taken is sent again, in milliseconds. */
+/** Pause before a join that was not accepted is sent again, in milliseconds. */
 const JOIN_RETRY_MS = 250;
 
-/** The order giver's decisions for one service. */
+/** Plans the groups of one service and sends the orders that are due. */
 export class GroupTask {
   readonly #options: GroupTaskOptions;
   readonly #formations = new Map<string, Formation>();
   readonly #rearrangement: Rearrangement;
   readonly #stagings: RunningStagings;
-  readonly #accepted = new AcceptedOrders();
+  readonly #acceptedOrders = new AcceptedOrders();
   readonly #observer: GroupObserver;
-  readonly #loads: LoadBudget;
+  readonly #loadBudget: LoadBudget;
   readonly #settling = new Settling();
-  readonly #lapsed = new LapsedDomains();
+  readonly #lapsedDomains = new LapsedDomains();
   readonly #domainUses: DomainUses;
   readonly #capacityLog: CapacityLog;
   #term: Revision = 0;
   #renewedAt: Revision = 0;
   readonly #epochs = new EpochSeries();
-  /** True when no host had anything loaded or staged at the first plan; undefined before. */
-  #beganBlank: boolean | undefined;
+  /** True when no host had anything loaded or staged at the first plan; undefined before that plan. */
+  #startedEmpty: boolean | undefined;
 
   constructor(options: GroupTaskOptions) {
     this.#options = options;
     this.#observer = new GroupObserver(id => options.registry.get(id));
-    this.#loads = new LoadBudget(options.loadWindowMs);
+    this.#loadBudget = new LoadBudget(options.loadWindowMs);
     this.#domainUses = new DomainUses(options);
     this.#capacityLog = new CapacityLog(options.log);
     this.#rearrangement = new Rearrangement(options.log);
@@ -106,15 +109,15 @@
   }
 
   /**
-   * Looks at the hosts and gives the orders that are due, in a term of the lease that was last renewed at a
-   * revision. Cheap when nothing is.
+   * Reads the entries of the hosts and sends the orders that are due, under a lease that is held in `term` and was
+   * last renewed at `renewedAt`. Cheap when no orders are due.
    */
   step(term: Revision, renewedAt: Revision = term): void {
     const profile = this.#options.profile();
     if (profile === undefined || profile.models.length === 0) {
       return;
     }
-    this.#beginTerm(term);
+    this.#startTerm(term);
     this.#renewedAt = renewedAt;
     const now = monotonicMs();
     const hosts = this.#options.registry.ofService(this.#options.service);
@@ -123,8 +126,8 @@
     const view = this.#view(profile, now);
     this.#repair(groups, profile, view, now);
     if (hosts.length > 0 && this.#settling.isOver(hosts.length, now)) {
-      this.#beganBlank ??= hosts.every(isBlank);
-      this.#form(hosts, groups, profile, view, now);
+      this.#startedEmpty ??= hosts.every(isEmptyHost);
+      this.#formGroups(hosts, groups, profile, view, now);
     }
   }
 
@@ -132,12 +135,12 @@
     const hosts = this.#options.registry.ofService(this.#options.service);
     return {
       hosts,
-      beliefs: this.#beliefs(hosts, profile, now),
+      beliefs: this.#knownState(hosts, profile, now),
       sizeOf: name => profile.models.find(model => model.name === name)?.size,
     };
   }
 
-  #beginTerm(term: Revision): void {
+  #startTerm(term: Revision): void {
     if (term === this.#term) {
       return;
     }
@@ -171,10 +174,10 @@
     prober.watchDeparted(this.#departed());
   }
 
-  #beingAsked(now: number): readonly HostEntry[] {
+  #beingProbed(now: number): readonly HostEntry[] {
     const { silent, unlisted } = this.#options.prober;
     return this.#departed()
-      .filter(({ since }) => now - since < DEPARTURE_ASKED_MS)
+      .filter(({ since }) => now - since < DEPARTED_PROBE_MS)
       .map(({ entry }) => entry)
       .filter(({ id }) => !silent.has(id) && !unlisted.has(id));
   }
@@ -183,10 +186,10 @@
     return this.#options.registry.departedOf(this.#options.service);
   }
 
-  #beliefs(hosts: readonly HostEntry[], profile: EngineProfile, now: number): GroupBeliefs {
+  #knownState(hosts: readonly HostEntry[], profile: EngineProfile, now: number): GroupBeliefs {
     const { prober, sender } = this.#options;
     const running = this.#loadsRunning(hosts);
-    const byRate = this.#options.mayLoadFreely() ? Infinity : profile.loadsPerSecond;
+    const maxRate = this.#options.mayLoadFreely() ? Infinity : profile.loadsPerSecond;
     return {
       formations: this.#formations,
       dissolving: this.#rearrangement.dissolving,
@@ -197,23 +200,24 @@
       slow: prober.slow,
       justBack: prober.justBack,
       unlisted: prober.unlisted,
-      beingAsked: this.#beingAsked(now),
+      beingAsked: this.#beingProbed(now),
       entriesMayReturn: (this.#options.inTouchForMs() ?? 0) < ENTRIES_RETURN_MS,
-      lapsedDomains: this.#lapsed.observe(domainHosts(hosts, this.#departed(), now), now),
+      lapsedDomains: this.#lapsedDomains.observe(domainHosts(hosts, this.#departed(), now), now),
       ...this.#domainUses.observe(hosts, now),
       busy: sender.busy,
-      loadsLeft: this.#loads.left(now, byRate, profile.loadsAtOnce + EXTRA_LOADS, running),
+      loadsLeft: this.#loadBudget.left(now, maxRate, profile.loadsAtOnce + EXTRA_LOADS, running),
     };
   }
 
-  // Of a former order giver's formations only the hosts that have nothing staged are known to load.
+  // In a formation of an earlier lease holder, only the hosts that have nothing staged are known to load.
   #loadsRunning(hosts: readonly HostEntry[]): number {
     let running = this.#stagings.all.size;
     for (const host of hosts) {
       const membership = host.membership;
       if (membership?.state === 'joining') {
-        const own = this.#formations.get(membership.group);
-        const loading = own === undefined ? host.stagedModels.length === 0 : own.loads > 0;
+        const formation = this.#formations.get(membership.group);
+        const loading =
+          formation === undefined ? host.stagedModels.length === 0 : formation.loads > 0;
         running += loading ? 1 : 0;
       }
     }
@@ -238,22 +242,22 @@
     }
   }
 
-  // A head whose entry has gone may still serve: it is ordered to leave, in case the order reaches it.
+  // A head whose entry was removed may still serve. One that still answers probes is ordered to leave.
   #releaseDeparted(groups: readonly ReplicaGroup[], view: GuardView, now: number): void {
     for (const group of groups) {
-      const known = this.#observer.heads.get(group.name);
-      if (group.head !== undefined || known === undefined || known.left || known.host.id === '') {
+      const head = this.#observer.heads.get(group.name);
+      if (group.head !== undefined || head === undefined || head.left || head.host.id === '') {
         continue;
       }
       const order: HostOrder = { kind: 'leave', group: group.name, epoch: group.epoch };
-      const unlisted = view.beliefs.unlisted.has(known.host.id);
-      if (unlisted) {
-        this.#send({ host: known.host, order, reason: 'member-lost' }, view, now);
+      const stillAnswers = view.beliefs.unlisted.has(head.host.id);
+      if (stillAnswers) {
+        this.#send({ host: head.host, order, reason: 'member-lost' }, view, now);
       }
     }
   }
 
-  #form(
+  #formGroups(
     hosts: readonly HostEntry[],
     groups: readonly ReplicaGroup[],
     profile: EngineProfile,
@@ -263,29 +267,29 @@
     const fleet = fleetViewOf(hosts, groups, profile, view.beliefs);
     const { size: forming } = this.#formations;
     this.#capacityLog.note(groups, fleet, { forming, staging: this.#stagings.all.size });
-    const free = this.#loadsAreFree();
-    const loads = free ? FREE_LOADS : NO_LOADS;
+    const areLoadsFree = this.#loadsAreFree();
+    const loads = areLoadsFree ? FREE_LOADS : NO_LOADS;
     const planned = [...planFormations(fleet, loads), ...planIdleFormations(fleet, loads)];
     for (const formation of planned) {
-      this.#begin(formation, view, now);
+      this.#beginFormation(formation, view, now);
     }
     if (planned.length > 0) {
       return;
     }
-    if (!free) {
+    if (!areLoadsFree) {
       this.#rearrangement.look(fleet, now);
     }
-    this.#stage(fleet, free ? Infinity : view.beliefs.loadsLeft, view, now);
+    this.#beginStagings(fleet, areLoadsFree ? Infinity : view.beliefs.loadsLeft, view, now);
   }
 
-  // Before the first request loads are quick and do not slow each other: groups come first, then
-  // every host stages what it may need later. Hosts that had something loaded or staged when this
-  // process first saw them have served before, even if this process has not had a request yet.
+  // Before the first request loads are fast and do not slow each other down, so groups are formed first, also of hosts
+  // that still have to load, and then every host stages what it may need later. Hosts that had something loaded or
+  // staged at the first plan have served before, even if this process has not received a request yet.
   #loadsAreFree(): boolean {
-    return this.#beganBlank === true && this.#options.mayLoadFreely();
+    return this.#startedEmpty === true && this.#options.mayLoadFreely();
   }
 
-  #begin(planned: PlannedFormation, view: GuardView, now: number): void {
+  #beginFormation(planned: PlannedFormation, view: GuardView, now: number): void {
     const { service, log } = this.#options;
     const epoch = this.#epochs.next(this.#renewedAt);
     if (epoch === undefined) {
@@ -300,7 +304,7 @@
     const starts = planned.hosts.map(({ id, startedAt }) => ({ id, startedAt }));
     const formation = { group, epoch, model, members, starts, fabricDomain, deadline, loads };
     this.#formations.set(group, formation);
-    this.#loads.note(now, loads);
+    this.#loadBudget.note(now, loads);
     log.info('formation begun', {
       group,
       model,
@@ -315,20 +319,20 @@
     }
   }
 
-  #stage(fleet: FleetView, loadsLeft: number, view: GuardView, now: number): void {
+  #beginStagings(fleet: FleetView, loadsLeft: number, view: GuardView, now: number): void {
     const loadable = this.#stagings.loadable(fleet, now);
     const planned = planStagings(loadable, loadsLeft);
     const idle = planIdleStagings(loadable, loadsLeft - planned.length);
     for (const { host, model } of [...planned, ...idle]) {
       this.#stagings.begin(host, model, now);
-      this.#loads.note(now);
+      this.#loadBudget.note(now);
       this.#send({ host, order: { kind: 'stage', model: model.name }, reason: 'spare' }, view, now);
     }
   }
 
   #send(planned: PlannedOrder, view: GuardView, now: number): void {
     const { host, order, reason } = planned;
-    if (this.#accepted.isRecent(host, order, now)) {
+    if (this.#acceptedOrders.isRecent(host, order, now)) {
       return;
     }
     const refusal = refuseOrder(host, order, view);
@@ -339,17 +343,17 @@
     this.#options.sender
       .send(host, order, reason, this.#term)
       .then(outcome => {
-        this.#take(host, order, outcome);
+        this.#handleOutcome(host, order, outcome);
       })
       .catch((error: unknown) => {
         this.#options.log.error('order failed', { host: host.id, cause: String(error) });
       });
   }
 
-  #take(host: HostEntry, order: HostOrder, outcome: OrderOutcome | undefined): void {
+  #handleOutcome(host: HostEntry, order: HostOrder, outcome: OrderOutcome | undefined): void {
     const accepted = outcome === 'begun' || outcome === 'done';
     if (accepted) {
-      this.#accepted.note(host, order, monotonicMs());
+      this.#acceptedOrders.note(host, order, monotonicMs());
     }
     if (order.kind === 'leave' && accepted) {
       this.#observer.noteLeft(order.group, host.id);
@@ -363,15 +367,15 @@
     }
   }
 
-  // The same join with the same expected sequence is taken once at most.
+  // A retry is safe, since a host accepts the same join with the same expected sequence at most once.
   #retryJoin(host: HostEntry, order: HostOrder & { kind: 'join' }): void {
     setTimeout(() => {
       const now = monotonicMs();
       const profile = this.#options.profile();
       const formation = this.#formations.get(order.group);
       const entry = this.#options.registry.get(host.id);
-      const over = formation === undefined || now > formation.deadline;
-      if (profile === undefined || entry === undefined || over) {
+      const isOver = formation === undefined || now > formation.deadline;
+      if (profile === undefined || entry === undefined || isOver) {
         return;
       }
       if (entry.membership?.group !== order.group) {
@@ -381,7 +385,7 @@
   }
 }
 
-function isBlank(host: HostEntry): boolean {
-  const empty = host.stagedModels.length === 0 && host.loadedModel === undefined;
-  return empty && host.membership === undefined;
+function isEmptyHost(host: HostEntry): boolean {
+  const hasNoModel = host.stagedModels.length === 0 && host.loadedModel === undefined;
+  return hasNoModel && host.membership === undefined;
 }
--- a/packages/entry/src/groups/host-orders.ts
+++ b/packages/entry/src/groups/host-orders.ts
@@ -1,10 +1,10 @@
-/** Orders to hosts, as the product needs them; the adapter of a platform implements them. */
+/** Orders to hosts and the interface that sends them; the adapter of each platform implements it. */
 import type { HostEntry, HostIncarnation } from '../hosts/host-entry.js';
 import type { AnswerHead } from '../requests/host-notice.js';
 
 /** An order to one host. */
 export type HostOrder =
-  /** Become a member; the first of `members` is the head. */
+  /** Become a member of a group; `members` are host ids, the head first. */
   | {
       readonly kind: 'join';
       readonly group: string;
@@ -12,76 +12,79 @@
       readonly model: string;
       readonly members: readonly string[];
     }
-  /** To a ready head: begin to serve. */
+  /** For a ready head: begin to accept requests. */
   | { readonly kind: 'open'; readonly group: string; readonly epoch: number }
-  /** To an open head: finish what runs, then be ready. */
+  /** For an open head: accept no more requests, finish those in progress, then become ready. */
   | {
       readonly kind: 'close';
       readonly group: string;
       readonly epoch: number;
       readonly manner: 'pending' | 'preempt';
     }
-  /** Give up membership at once. */
+  /** Leave the group at once. */
   | { readonly kind: 'leave'; readonly group: string; readonly epoch: number }
-  /** Bring a model's weights onto the host. */
+  /** Put a model's weights on the host. */
   | { readonly kind: 'stage'; readonly model: string };
 
-/** How a host took an order. */
+/** The outcome of an order. */
 export type OrderOutcome =
-  /** Under way; the host's order sequence has risen. */
+  /** The host has accepted it and raised its order sequence; it is being carried out. */
   | 'begun'
-  /** It held already, or is done. */
+  /** It has been carried out, or the host was already in the ordered state. */
   | 'done'
-  /** The host's state or order sequence is another than expected. */
+  /** The host's state or order sequence is not the expected one. */
   | 'conflict'
-  /** The host has seen a higher epoch. */
+  /** The host has already accepted an order with a higher epoch. */
   | 'superseded'
-  /** Another host has the address. */
+  /** Another host answers at the address. */
   | 'other-host'
+  /** The host has rejected the order for another reason. */
   | 'rejected'
-  /** Not sent: the host still carries out an order of an earlier order giver. */
+  /** Not sent: the host is still carrying out an order of an earlier lease holder. */
   | 'occupied'
-  /** Not sent: the lease has lapsed since it was planned. */
+  /** Not sent: the lease has lapsed since the order was planned. */
   | 'lease-lost'
-  /** No answer: it may have been taken, or may be carried out later. */
+  /** No answer in time: the host may have accepted the order, or may still do so later. */
   | 'unanswered';
 
-/** What a host tells when asked. */
+/** The state that a host reports when asked. */
 export type HostReport = {
-  /** When the host's process started, as in its entry; undefined where it does not tell. */
+  /** Start time of the host's process, as in its entry; undefined where the host does not report it. */
   readonly startedAt: number | undefined;
+  /** Counter that the host raises as it begins an order; it accepts an order only with the current value. */
   readonly orderSequence: number;
-  /** Name of the group that the host is a member of. */
+  /** Name of the group that the host is a member of; undefined where it is in none. */
   readonly group: string | undefined;
-  /** An order that was accepted earlier is still being carried out. */
+  /** True while an accepted order is still being carried out. */
   readonly hasOrderUnderWay: boolean;
-  /** Factor on the host's speed; over 1 is slow. */
+  /** Factor on the host's times: 1 is the normal speed, a higher value is slower. */
   readonly pace: number;
 };
 
-/** The head of an answer of a host, and what it answers. */
+/** The status and headers of a host's answer, with the request that it answers. */
 export type HostAnswer = {
   readonly head: AnswerHead;
-  /** Id of the request; undefined for orders and questions for reports. */
+  /** Id of the request; undefined for orders and for requests for reports. */
   readonly requestId: string | undefined;
-  /** When the host was asked, in monotonic milliseconds. */
+  /** When the request was sent to the host, in monotonic milliseconds. */
   readonly askedAt: number;
 };
 
-/** Called as the head of an answer arrives. */
+/** Called when the status and headers of an answer arrive. */
 export type HostAnswerListener = (host: HostIncarnation, answer: HostAnswer) => void;
 
-/** Calls to hosts. */
+/** Sends orders to hosts and fetches their reports. */
 export type HostOrders = {
-  /** Sends an order that the host takes only while its order sequence is the expected one. */
+  /** Sends an order, which the host accepts only if its order sequence is the expected one. */
   readonly send: (
     host: HostEntry,
     order: HostOrder,
     expectedSequence: number,
   ) => Promise<OrderOutcome>;
-  /** Asks a host; undefined when it does not answer in time. */
+  /** Fetches the report of a host; undefined when the host does not answer in time. */
   readonly report: (host: HostEntry, timeoutMs: number) => Promise<HostReport | undefined>;
-  /** Calls the listener with each answer, to orders and to questions, from now on. */
+  /** Adds a listener for each later answer to an order or to a request for a report. */
   readonly onAnswer: (listener: HostAnswerListener) => void;
+  /** Closes the connections to hosts. */
   readonly close: () => void;
 };
--- a/packages/entry/src/groups/load-crashes.test.ts
+++ b/packages/entry/src/groups/load-crashes.test.ts
@@ -1,4 +1,4 @@
-/** Loads that end with their hosts. */
+/** Tests that a model whose loads crash their hosts is held back, and that unrelated losses of hosts do not count. */
 import { expect } from 'chai';
 
 import { silentLog } from '../server/log.js';
@@ -7,9 +7,9 @@
 import { LoadCrashes } from './load-crashes.js';
 
 const LOAD_MS = 4_000;
-const NOBODY = { silent: new Map<string, number>(), unlisted: new Map() };
+const NO_PROBED_HOSTS = { silent: new Map<string, number>(), unlisted: new Map() };
 
-describe('loads that end with their hosts', () => {
+describe('loads that crash their hosts', () => {
   let crashes: LoadCrashes;
   let now: number;
   let nextHost: number;
@@ -32,7 +32,7 @@
     now += LOAD_MS;
   }
 
-  it('hold its model back after three, and no other', () => {
+  it('hold back their model, and no other, after three crashes', () => {
     crash('m1');
     crash('m1');
     expect(loadable()).to.deep.equal(['m1', 'm2']);
@@ -40,7 +40,7 @@
     expect(loadable()).to.deep.equal(['m2']);
   });
 
-  it('let it be tried again after a pause that doubles', () => {
+  it('allow another load of the model after a pause that doubles', () => {
     ['m1', 'm1', 'm1'].forEach(model => {
       crash(model);
     });
@@ -53,7 +53,7 @@
     expect(loadable()).to.include('m1');
   });
 
-  it('count for nothing once a host has completed a load', () => {
+  it('do not count once a host has completed a load of the model', () => {
     crash('m1');
     crash('m1');
     crashes.noteLoaded('m1');
@@ -62,7 +62,7 @@
     expect(loadable()).to.include('m1');
   });
 
-  it('of hosts that are lost at one moment count once', () => {
+  it('count once where the hosts are lost at the same moment', () => {
     for (let index = 0; index < 5; index++) {
       const host = testHost(`h${index}`, { fabricDomain: `d${index}` });
       crashes.noteLost({ model: 'm1', host, since: now - LOAD_MS }, true, now + index);
@@ -70,7 +70,7 @@
     expect(loadable()).to.include('m1');
   });
 
-  it('of hosts whose entries have gone count only where the hosts do not answer', () => {
+  it('count only where a host whose entry was removed does not answer', () => {
     const hosts = ['a', 'b', 'c', 'd'].map((id, index) =>
       testHost(id, { fabricDomain: `d${index}` }),
     );
@@ -78,13 +78,16 @@
       crashes.noteLost({ model: 'm1', host, since: now - LOAD_MS }, false, now);
       now += 1_500;
     });
-    crashes.settle({ ...NOBODY, unlisted: new Map(hosts.map(host => [host.id, host])) }, now);
-    crashes.settle({ ...NOBODY, silent: new Map(hosts.map(({ id }) => [id, now])) }, now);
+    crashes.settle(
+      { ...NO_PROBED_HOSTS, unlisted: new Map(hosts.map(host => [host.id, host])) },
+      now,
+    );
+    crashes.settle({ ...NO_PROBED_HOSTS, silent: new Map(hosts.map(({ id }) => [id, now])) }, now);
     expect(loadable()).to.include('m1');
     hosts.forEach(host => {
       crashes.noteLost({ model: 'm1', host, since: now - LOAD_MS }, false, now);
       now += 1_500;
-      crashes.settle({ ...NOBODY, silent: new Map([[host.id, now]]) }, now);
+      crashes.settle({ ...NO_PROBED_HOSTS, silent: new Map([[host.id, now]]) }, now);
     });
     expect(loadable()).to.not.include('m1');
   });
--- a/packages/entry/src/groups/load-crashes.ts
+++ b/packages/entry/src/groups/load-crashes.ts
@@ -1,10 +1,10 @@
 /**
- * Holds back loads of a model that end the hosts that load it: a version whose weights can not be read would
- * otherwise end one free host after the other, as fast as loads may begin.
+ * Holds back loads of a model that crash the hosts that load it. A version whose weights can not be read would
+ * otherwise crash one free host after the other, as fast as loads may begin.
  *
- * Hosts are lost for other reasons too, and those of a rack together: crashes count as in `crash-score.ts`, and a
- * load of the model that any host completes clears it. A model that is held is tried again by the next load after
- * a pause, which doubles while loads of it go on to end their hosts.
+ * Hosts are lost for other reasons too, and the hosts of a rack together, so crashes are scored as in `crash-score.ts`.
+ * A completed load of the model on any host clears its crashes. A held model may be loaded again after a pause, which
+ * doubles while its loads continue to crash hosts.
  */
 import type { HostEntry } from '../hosts/host-entry.js';
 import { incarnationOf } from '../hosts/host-entry.js';
@@ -16,72 +16,76 @@
 /** A load that is under way on a host. */
 export type RunningLoad = {
   readonly model: string;
-  /** The host as it was when the load began. */
+  /** The host's entry when the load began. */
   readonly host: HostEntry;
-  /** Monotonic milliseconds. */
+  /** When the load began, in monotonic milliseconds. */
   readonly since: number;
 };
 
-/** What is known of hosts that do not show their loads any more. */
+/** Whether hosts whose entries were removed still answer probes, by host id. */
 export type LostHostBeliefs = {
-  /** Hosts that do not answer. */
+  /** Hosts that do not answer, with the time since when (monotonic milliseconds). */
   readonly silent: ReadonlyMap<string, number>;
-  /** Hosts that answer although their entries have gone. */
+  /** Hosts that answer although their entries have been removed, with their last entries. */
   readonly unlisted: ReadonlyMap<string, HostEntry>;
 };
 
-/** Crashes, each for itself, from which a model is held; as many as a request may end hosts. */
-const LEAST_CRASHES = 3;
-/** First pause, and the longest, in milliseconds: some loads, and few beside the time of a repair. */
-const HOLD_MS = 30_000;
-const MOST_HOLD_MS = 600_000;
-/** Time in which a host whose entry went is asked whether it is there, in milliseconds. */
-const ASKED_MS = 5_000;
-/** Crashes that are remembered of a model, the newest ones; more than it takes to hold it. */
-const MOST_CRASHES = 16;
+/** Crash score from which a model is held; the same as that from which a request is quarantined. */
+const HOLD_SCORE = 3;
+/** First pause, in milliseconds: the time of several loads. */
+const INITIAL_HOLD_MS = 30_000;
+/** Longest pause, in milliseconds: short compared with the time that it takes to repair a model's weights. */
+const MAX_HOLD_MS = 600_000;
+/** Longest wait for the result of a probe of a host whose entry was removed, in milliseconds. */
+const PROBE_WAIT_MS = 5_000;
+/** Number of crashes kept for each model, the newest ones; more than it takes to hold the model. */
+const MAX_CRASHES_KEPT = 16;
 
-type Lost = RunningLoad & { readonly at: number };
+/** A load whose host was lost, with the time of the loss in monotonic milliseconds. */
+type LostLoad = RunningLoad & { readonly at: number };
+/** Crashes of a model, the next pause in milliseconds, and the monotonic time until which the model is held. */
 type ModelCrashes = { crashes: readonly Crash[]; holdMs: number; heldUntil: number };
 
-const NOTHING_EXPLAINED: ReadonlySet<string> = new Set();
+/** For loads, unlike for requests, the score leaves out no hosts whose crashes have another known cause. */
+const NO_EXPLAINED_HOSTS: ReadonlySet<string> = new Set();
 
-/** The loads that have ended with their hosts, by model. */
+/** Tracks the loads that ended with a crash of their hosts, and holds back the models that cause them. */
 export class LoadCrashes {
   readonly #log: Log;
   readonly #models = new Map<string, ModelCrashes>();
-  /** Loads whose hosts' entries have gone, until the hosts were asked. */
-  #lost: readonly Lost[] = [];
+  /** Loads on hosts whose entries were removed, until a probe shows whether the host has crashed. */
+  #unconfirmedLosses: readonly LostLoad[] = [];
 
   constructor(log: Log) {
     this.#log = log;
   }
 
-  /** The entry of a loading host has gone, or shows a later start. */
+  /** Records that the entry of a loading host was removed, or shows a restart; `now` in monotonic milliseconds. */
   noteLost(load: RunningLoad, hasRestarted: boolean, now: number): void {
     if (hasRestarted) {
       this.#noteCrash({ ...load, at: now });
     } else {
-      this.#lost = [...this.#lost, { ...load, at: now }];
+      this.#unconfirmedLosses = [...this.#unconfirmedLosses, { ...load, at: now }];
     }
   }
 
-  /** A host has completed a load of the model. */
+  /** Records that a host has completed a load of the model, which clears the model's crashes. */
   noteLoaded(model: string): void {
     this.#models.delete(model);
   }
 
-  /** Looks whether hosts whose entries have gone are there all the same. */
+  /** Counts a crash for each lost host that does not answer, and drops those that answer or were not probed in time. */
   settle({ silent, unlisted }: LostHostBeliefs, now: number): void {
-    const ended = this.#lost.filter(({ host }) => silent.has(host.id));
-    this.#lost = this.#lost.filter(
-      ({ host, at }) => !silent.has(host.id) && !unlisted.has(host.id) && now - at < ASKED_MS,
+    const confirmed = this.#unconfirmedLosses.filter(({ host }) => silent.has(host.id));
+    this.#unconfirmedLosses = this.#unconfirmedLosses.filter(
+      ({ host, at }) => !silent.has(host.id) && !unlisted.has(host.id) && now - at < PROBE_WAIT_MS,
     );
-    ended.forEach(lost => {
+    confirmed.forEach(lost => {
       this.#noteCrash(lost);
     });
   }
 
-  /** The fleet without the models that must not be loaded now. */
+  /** Returns the fleet without the models that are held now. */
   loadable(fleet: FleetView, now: number): FleetView {
     const isHeld = (model: string): boolean => now < (this.#models.get(model)?.heldUntil ?? 0);
     const models = fleet.profile.models.filter(({ name }) => !isHeld(name));
@@ -90,25 +94,29 @@
       : { ...fleet, profile: { ...fleet.profile, models } };
   }
 
-  #noteCrash({ model, host, since, at }: Lost): void {
-    const before = this.#models.get(model) ?? { crashes: [], holdMs: HOLD_MS, heldUntil: 0 };
+  #noteCrash({ model, host, since, at }: LostLoad): void {
+    const previous = this.#models.get(model) ?? {
+      crashes: [],
+      holdMs: INITIAL_HOLD_MS,
+      heldUntil: 0,
+    };
     const crash: Crash = {
       host: incarnationOf(host),
       incarnation: host,
       place: host.fabricDomain ?? host.failureDomain,
       sentAt: since,
       at,
-      sequence: (before.crashes.at(-1)?.sequence ?? 0) + 1,
+      sequence: (previous.crashes.at(-1)?.sequence ?? 0) + 1,
     };
-    const crashes = [...before.crashes, crash].slice(-MOST_CRASHES);
-    const isHeld = crashScoreOf(crashes, NOTHING_EXPLAINED).score >= LEAST_CRASHES;
-    const { holdMs } = before;
+    const crashes = [...previous.crashes, crash].slice(-MAX_CRASHES_KEPT);
+    const isHeld = crashScoreOf(crashes, NO_EXPLAINED_HOSTS).score >= HOLD_SCORE;
+    const { holdMs } = previous;
     const after = isHeld
-      ? { crashes, holdMs: Math.min(2 * holdMs, MOST_HOLD_MS), heldUntil: at + holdMs }
-      : { ...before, crashes };
+      ? { crashes, holdMs: Math.min(2 * holdMs, MAX_HOLD_MS), heldUntil: at + holdMs }
+      : { ...previous, crashes };
     this.#models.set(model, after);
     if (isHeld) {
-      const hosts = crashes.map(one => one.incarnation.id).join(',');
+      const hosts = crashes.map(each => each.incarnation.id).join(',');
       this.#log.warn('loads of a model held back', { model, hosts, forMs: holdMs });
     }
   }
--- a/packages/entry/src/groups/member-prober.test.ts
+++ b/packages/entry/src/groups/member-prober.test.ts
@@ -1,4 +1,4 @@
-/** What a host's answer, or its silence, says of the place that it holds in a group. */
+/** Tests what a probe concludes from a host's answer, or from a missing one, about its membership in a group. */
 import { expect } from 'chai';
 
 import { silentLog } from '../server/log.js';
@@ -9,7 +9,7 @@
 
 const ANSWERED_MS = 20;
 
-describe('a host that is asked whether it is there', () => {
+describe('a probed host', () => {
   const report: HostReport = {
     startedAt: 10,
     orderSequence: 0,
@@ -18,7 +18,7 @@
     hasOrderUnderWay: false,
   };
 
-  async function ask(startedAt: number | undefined, answer?: HostReport): Promise<MemberProber> {
+  async function probe(startedAt: number | undefined, answer?: HostReport): Promise<MemberProber> {
     const prober = new MemberProber({
       orders: {
         onAnswer: () => undefined,
@@ -35,25 +35,25 @@
     return prober;
   }
 
-  it('is there when its process answers, although its entry has gone', async () => {
-    const prober = await ask(10, report);
+  it('counts as running when its process answers although its entry has been removed', async () => {
+    const prober = await probe(10, report);
     expect([...prober.unlisted.keys()]).to.deep.equal(['h']);
     expect(prober.silent.size).to.equal(0);
   });
 
-  it('is not there when a later start of it answers, which holds no place in a group', async () => {
-    const prober = await ask(10, { ...report, startedAt: 20 });
+  it('counts as lost when a later incarnation of it answers, which is not a member of the group', async () => {
+    const prober = await probe(10, { ...report, startedAt: 20 });
     expect(prober.unlisted.size).to.equal(0);
     expect(prober.silent.has('h')).to.equal(true);
   });
 
-  it('is not there when nobody answers', async () => {
-    const prober = await ask(10);
+  it('counts as lost when no process answers', async () => {
+    const prober = await probe(10);
     expect(prober.silent.has('h')).to.equal(true);
   });
 
-  it('is believed where it does not tell of its start', async () => {
-    expect((await ask(undefined, report)).unlisted.size).to.equal(1);
-    expect((await ask(10, { ...report, startedAt: undefined })).unlisted.size).to.equal(1);
+  it('counts as the same incarnation where it does not report its start time', async () => {
+    expect((await probe(undefined, report)).unlisted.size).to.equal(1);
+    expect((await probe(10, { ...report, startedAt: undefined })).unlisted.size).to.equal(1);
   });
 });
--- a/packages/entry/src/groups/member-prober.ts
+++ b/packages/entry/src/groups/member-prober.ts
@@ -1,4 +1,4 @@
-/** Asks hosts directly whether they are there, when their streams or entries give reason to. */
+/** Probes hosts directly when their streams stall or their entries are removed. */
 import type { DepartedHost, HostEntry } from '../hosts/host-entry.js';
 import { isSameStart } from '../hosts/host-entry.js';
 import type { Log } from '../server/log.js';
@@ -11,73 +11,82 @@
   readonly orders: HostOrders;
   readonly log: Log;
   readonly counters: Counters;
-  /** Called when a belief has changed. */
+  /** Called when a host has begun or ceased to answer, or to be slow. */
   readonly changed: () => void;
 };
 
-const PROBE_TIMEOUT_MS = 250;
-const SECOND_PROBE_AFTER_MS = 80;
-const DEPARTED_PERIOD_MS = 1_000;
-/** A suspicion is not looked into again within this time. */
-const SUSPICION_PERIOD_MS = 1_000;
-const SILENT_PERIOD_MS = 1_000;
-/** All silent hosts are asked again at least once in this time. */
-const JUST_BACK_MS = 1_800;
+/** Timeout of each of the two requests of a probe, in milliseconds. */
+const REQUEST_TIMEOUT_MS = 250;
+/** Time without an answer after which the second request is sent, in milliseconds. */
+const SECOND_REQUEST_AFTER_MS = 80;
+/** Shortest time between two probes of a host whose entry was removed, in milliseconds. */
+const DEPARTED_PROBE_PERIOD_MS = 1_000;
+/** Shortest time between two probes of a host for suspicions of its group, in milliseconds. */
+const SUSPICION_PROBE_PERIOD_MS = 1_000;
+/** Shortest time between two probes of a host that does not answer or is slow, in milliseconds. */
+const RECHECK_PERIOD_MS = 1_000;
+/**
+ * Time for which a host counts as just recovered, in milliseconds. All hosts that do not answer are probed again at
+ * least once in this time.
+ */
+const JUST_RECOVERED_MS = 1_800;
 
 /**
  * Factor on a host's times from which it counts as slow. A group runs at the pace of its slowest
- * member; forming it anew with another one takes it out of service for about 1.5 s.
+ * member; forming it again with another member takes it out of service for about 1.5 s.
  */
 const SLOW_PACE = 1.8;
 
-/** Keeps which hosts do not answer, and which are slow. */
+/** Probes hosts, and tracks which of them do not answer and which are slow. */
 export class MemberProber {
   readonly #options: MemberProberOptions;
-  /** Since when hosts do not answer (monotonic milliseconds). */
-  readonly #silent = new Map<string, number>();
+  /** Times since which hosts do not answer (monotonic milliseconds), by host id. */
+  readonly #unresponsive = new Map<string, number>();
   readonly #slow = new Set<string>();
   readonly #unlisted = new Map<string, HostEntry>();
-  readonly #asked = new Map<string, number>();
-  readonly #backSince = new Map<string, number>();
+  /** Times of the last probes (monotonic milliseconds), by host id. */
+  readonly #lastProbedAt = new Map<string, number>();
+  /** Times at which hosts began to answer again (monotonic milliseconds), by host id. */
+  readonly #recoveredAt = new Map<string, number>();
 
   constructor(options: MemberProberOptions) {
     this.#options = options;
   }
 
-  /** Hosts that did not answer twice in a row, with the time since when. */
+  /** Hosts that answered neither request of a probe, with the time since when (monotonic milliseconds). */
   get silent(): ReadonlyMap<string, number> {
-    return this.#silent;
+    return this.#unresponsive;
   }
 
-  /** Hosts that said that they are slow when they were last asked. */
+  /** Hosts that reported at their last probe that they are slow. */
   get slow(): ReadonlySet<string> {
     return this.#slow;
   }
 
-  /** Hosts that answer again since a moment ago: what is believed of their peers may be old. */
+  /** Hosts that have just begun to answer again; the known state of the other hosts in their groups may be stale. */
   get justBack(): ReadonlySet<string> {
-    const oldest = monotonicMs() - JUST_BACK_MS;
-    for (const [id, since] of this.#backSince) {
-      if (since < oldest) {
-        this.#backSince.delete(id);
+    const earliest = monotonicMs() - JUST_RECOVERED_MS;
+    for (const [id, since] of this.#recoveredAt) {
+      if (since < earliest) {
+        this.#recoveredAt.delete(id);
       }
     }
-    return new Set(this.#backSince.keys());
+    return new Set(this.#recoveredAt.keys());
   }
 
-  /** Hosts that answer although their entries have gone. */
+  /** Hosts that answered their last probe, with the entries that they were probed by, even if removed since. */
   get unlisted(): ReadonlyMap<string, HostEntry> {
     return this.#unlisted;
   }
 
-  /** Asks the members of a group whose streams are stalled. */
+  /** Probes the members of a group that is reported to be lost, slow or about to end. */
   suspect(members: readonly HostEntry[]): void {
     for (const member of members) {
-      this.#askEvery(member, SUSPICION_PERIOD_MS);
+      this.#probeAtMostEvery(member, SUSPICION_PROBE_PERIOD_MS);
     }
   }
 
-  /** Asks hosts whose entries have gone whether they are still there. */
+  /** Probes the hosts whose entries have been removed, and forgets the answers of all other hosts. */
   watchDeparted(departed: readonly DepartedHost[]): void {
     const ids = new Set(departed.map(host => host.entry.id));
     for (const id of this.#unlisted.keys()) {
@@ -86,52 +95,52 @@
       }
     }
     for (const { entry } of departed) {
-      if (!this.#silent.has(entry.id)) {
-        this.#askEvery(entry, DEPARTED_PERIOD_MS);
+      if (!this.#unresponsive.has(entry.id)) {
+        this.#probeAtMostEvery(entry, DEPARTED_PROBE_PERIOD_MS);
       }
     }
   }
 
-  /** Asks silent and slow hosts again, so that a wrong belief does not last. */
+  /** Probes hosts that do not answer or are slow again, so that an outdated result does not persist. */
   recheck(entryOf: (id: string) => HostEntry | undefined): void {
-    for (const id of [...this.#silent.keys(), ...this.#slow]) {
+    for (const id of [...this.#unresponsive.keys(), ...this.#slow]) {
       const entry = entryOf(id);
       if (entry === undefined) {
         this.#slow.delete(id);
         continue;
       }
-      this.#askEvery(entry, SILENT_PERIOD_MS);
+      this.#probeAtMostEvery(entry, RECHECK_PERIOD_MS);
     }
   }
 
-  #askEvery(host: HostEntry, periodMs: number): void {
+  #probeAtMostEvery(host: HostEntry, periodMs: number): void {
     const now = monotonicMs();
-    if (now - (this.#asked.get(host.id) ?? -Infinity) < periodMs) {
+    if (now - (this.#lastProbedAt.get(host.id) ?? -Infinity) < periodMs) {
       return;
     }
-    this.#asked.set(host.id, now);
-    this.#ask(host).catch((error: unknown) => {
+    this.#lastProbedAt.set(host.id, now);
+    this.#probe(host).catch((error: unknown) => {
       this.#options.log.error('probe failed', { host: host.id, cause: String(error) });
     });
   }
 
-  async #ask(host: HostEntry): Promise<void> {
+  async #probe(host: HostEntry): Promise<void> {
     const { orders, counters } = this.#options;
-    const first = orders.report(host, PROBE_TIMEOUT_MS);
-    await Promise.race([first, sleep(SECOND_PROBE_AFTER_MS)]);
-    // A single lost packet is not taken for a lost host: a second question goes another way.
-    const answered =
+    const first = orders.report(host, REQUEST_TIMEOUT_MS);
+    await Promise.race([first, sleep(SECOND_REQUEST_AFTER_MS)]);
+    // A single lost packet must not count as a lost host, so a second request is sent on another connection.
+    const report =
       (await settledWithin(first, 0)) ??
-      (await orders.report(host, PROBE_TIMEOUT_MS)) ??
+      (await orders.report(host, REQUEST_TIMEOUT_MS)) ??
       (await first);
-    counters.count('probes_total', { answered: String(answered !== undefined) });
-    // A process that has started again under the id does not hold the place in a group that this one held.
-    const isThere = answered !== undefined && isSameStart(answered.startedAt, host.startedAt);
-    this.#believe(host, isThere);
-    this.#believePace(host, answered?.pace ?? 1);
+    counters.count('probes_total', { answered: String(report !== undefined) });
+    // A restarted process with the same id is not a member of the group that the earlier incarnation was in.
+    const isSameIncarnation = report !== undefined && isSameStart(report.startedAt, host.startedAt);
+    this.#recordAnswer(host, isSameIncarnation);
+    this.#recordPace(host, report?.pace ?? 1);
   }
 
-  #believePace(host: HostEntry, pace: number): void {
+  #recordPace(host: HostEntry, pace: number): void {
     const isSlow = pace >= SLOW_PACE;
     if (isSlow === this.#slow.has(host.id)) {
       return;
@@ -149,21 +158,21 @@
     this.#options.changed();
   }
 
-  #believe(host: HostEntry, answers: boolean): void {
+  #recordAnswer(host: HostEntry, answers: boolean): void {
     const { log, changed } = this.#options;
     if (answers) {
       this.#unlisted.set(host.id, host);
     } else {
       this.#unlisted.delete(host.id);
     }
-    if (answers === !this.#silent.has(host.id)) {
+    if (answers === !this.#unresponsive.has(host.id)) {
       return;
     }
     if (answers) {
-      this.#silent.delete(host.id);
-      this.#backSince.set(host.id, monotonicMs());
+      this.#unresponsive.delete(host.id);
+      this.#recoveredAt.set(host.id, monotonicMs());
     } else {
-      this.#silent.set(host.id, monotonicMs());
+      this.#unresponsive.set(host.id, monotonicMs());
     }
     log.warn(answers ? 'host answers again' : 'host does not answer', {
       host: host.id,
--- a/packages/entry/src/groups/order-guard.test.ts
+++ b/packages/entry/src/groups/order-guard.test.ts
@@ -1,6 +1,6 @@
 /**
- * The guard against a naive model of hosts, under every order and lateness: whatever is planned, no
- * group opens without all its members, and no host leaves a group that may serve.
+ * Compares the guard with a naive model of hosts, also by generated states: whatever is planned, no group opens without
+ * all its members, and no host is taken from a group that may still serve.
  */
 import { expect } from 'chai';
 import fc from 'fast-check';
@@ -30,12 +30,12 @@
 const JOIN: HostOrder = { kind: 'join', group: 'h', epoch: 2, model: 'm', members: ['a', 'b'] };
 
 describe('order guard', () => {
-  it('lets a head open once all members are ready', () => {
+  it('allows a head to open once all members are ready', () => {
     const head = member('a', 0, 'ready');
     expect(refuseOrder(head, OPEN, viewOf([head, member('b', 1, 'ready')]))).to.equal(undefined);
   });
 
-  it('holds an open back while a member is missing, joining, or of another epoch', () => {
+  it('refuses an open while a member is missing, joining, or of another epoch', () => {
     const head = member('a', 0, 'ready');
     expect(refuseOrder(head, OPEN, viewOf([head]))).to.equal('wrong-size');
     const joining = viewOf([head, member('b', 1, 'joining')]);
@@ -44,7 +44,7 @@
     expect(refuseOrder(head, OPEN, other)).to.equal('wrong-size');
   });
 
-  it('holds a join back while the head may serve', () => {
+  it("refuses a join while the head of the host's group may serve", () => {
     const follower = member('b', 1, 'ready');
     const head = member('a', 0, 'open');
     const heads = new Map([['g', { host: head, missingSince: undefined, left: false }]]);
@@ -53,20 +53,20 @@
     expect(refuseOrder(head, JOIN, serving)).to.equal('still-in-group');
   });
 
-  it('lets members go once their head has left, however long it was out of sight', () => {
+  it('allows members to join another group only once their head has left, however long its entry is missing', () => {
     const follower = member('b', 1, 'ready');
     const host = member('a', 0, 'open');
     const left = new Map([['g', { host, missingSince: 9_990, left: true }]]);
-    const gone = new Map([['g', { host, missingSince: 8_000, left: false }]]);
-    const short = new Map([['g', { host, missingSince: 9_500, left: false }]]);
+    const longMissing = new Map([['g', { host, missingSince: 8_000, left: false }]]);
+    const brieflyMissing = new Map([['g', { host, missingSince: 9_500, left: false }]]);
     const refusal = (heads: typeof left): unknown =>
       refuseOrder(follower, JOIN, viewOf([follower], { beliefs: testBeliefs({ heads }) }));
     expect(refusal(left)).to.equal(undefined);
-    expect(refusal(gone)).to.equal('still-in-group');
-    expect(refusal(short)).to.equal('still-in-group');
+    expect(refusal(longMissing)).to.equal('still-in-group');
+    expect(refusal(brieflyMissing)).to.equal('still-in-group');
   });
 
-  it('never opens what the naive model calls partial', () => {
+  it('never allows an open of a group that is incomplete in the naive model', () => {
     const states: MembershipState[] = ['joining', 'ready', 'open', 'closing', 'broken'];
     const entries = fc.array(
       fc.record({
@@ -96,24 +96,24 @@
     );
   });
 
-  it('never lets a member be taken from a group whose head is there and in it', () => {
+  it('never allows a member to be taken from a group that its head has not left', () => {
     const heads = fc.record({
       missingForMs: fc.option(fc.integer({ min: 0, max: 3_000 }), { nil: undefined }),
       left: fc.boolean(),
     });
     fc.assert(
-      fc.property(heads, fc.integer({ min: 1, max: 4 }), (known, epoch) => {
+      fc.property(heads, fc.integer({ min: 1, max: 4 }), (knownHead, epoch) => {
         const missingSince =
-          known.missingForMs === undefined ? undefined : 10_000 - known.missingForMs;
+          knownHead.missingForMs === undefined ? undefined : 10_000 - knownHead.missingForMs;
         const host = member('a', 0, 'open');
         const beliefs = testBeliefs({
-          heads: new Map([['g', { host, missingSince, left: known.left }]]),
+          heads: new Map([['g', { host, missingSince, left: knownHead.left }]]),
         });
         const follower = member('b', 1, 'ready');
         const order: HostOrder = { ...JOIN, epoch } as HostOrder;
         const allowed = refuseOrder(follower, order, viewOf([follower], { beliefs })) === undefined;
-        const safe = known.left;
-        expect(allowed).to.equal(safe && epoch > 1);
+        const isReleased = knownHead.left;
+        expect(allowed).to.equal(isReleased && epoch > 1);
       }),
     );
   });
--- a/packages/entry/src/groups/order-guard.ts
+++ b/packages/entry/src/groups/order-guard.ts
@@ -1,5 +1,5 @@
 /**
- * The last check before an order leaves. Pure, and independent of the planner, so that no plan
+ * The last check before an order is sent. It has no side effects and does not depend on the planner, so that no plan
  * can open a group that lacks a member or take a host out of a group that may still serve.
  */
 import type { HostEntry } from '../hosts/host-entry.js';
@@ -7,7 +7,7 @@
 import type { GroupBeliefs } from './group-beliefs.js';
 import type { HostOrder } from './host-orders.js';
 
-/** Why the guard holds an order back. */
+/** The reason for which the guard refuses an order. */
 export type GuardRefusal =
   | 'not-the-head'
   | 'member-missing'
@@ -17,15 +17,16 @@
   | 'epoch-too-low'
   | 'host-leaving';
 
-/** What the guard looks at. */
+/** The known state that the guard checks orders against. */
 export type GuardView = {
+  /** Current entries of the service's hosts. */
   readonly hosts: readonly HostEntry[];
   readonly beliefs: GroupBeliefs;
-  /** Hosts that a model's group needs. */
+  /** Number of hosts in a group that serves the model; undefined for an unknown model. */
   readonly sizeOf: (model: string) => number | undefined;
 };
 
-/** Why the order must not be sent; undefined when it may. */
+/** Returns the reason why the order must not be sent to the host, or undefined when it may be sent. */
 export function refuseOrder(
   host: HostEntry,
   order: HostOrder,
@@ -46,8 +47,12 @@
   order: HostOrder & { kind: 'open' },
   view: GuardView,
 ): GuardRefusal | undefined {
-  const own = host.membership;
-  if (own?.group !== order.group || own.epoch !== order.epoch || own.rank !== 0) {
+  const membership = host.membership;
+  if (
+    membership?.group !== order.group ||
+    membership.epoch !== order.epoch ||
+    membership.rank !== 0
+  ) {
     return 'not-the-head';
   }
   const members = view.hosts.filter(
@@ -77,15 +82,18 @@
   if (!host.accepting) {
     return 'host-leaving';
   }
-  const own = host.membership;
-  if (own === undefined || (own.group === order.group && own.epoch === order.epoch)) {
+  const membership = host.membership;
+  if (
+    membership === undefined ||
+    (membership.group === order.group && membership.epoch === order.epoch)
+  ) {
     return undefined;
   }
-  if (own.epoch >= order.epoch) {
+  if (membership.epoch >= order.epoch) {
     return 'epoch-too-low';
   }
-  if (own.rank === 0) {
+  if (membership.rank === 0) {
     return 'still-in-group';
   }
-  return isReleased(own.group, view.beliefs) ? undefined : 'still-in-group';
+  return isReleased(membership.group, view.beliefs) ? undefined : 'still-in-group';
 }
--- a/packages/entry/src/groups/order-places.test.ts
+++ b/packages/entry/src/groups/order-places.test.ts
@@ -3,12 +3,12 @@
 import { sleep } from '../server/time.js';
 import { OrderPlaces } from './order-places.js';
 
-describe('places for orders', () => {
-  it('bound how many are under way at once, whether they succeed or fail', async () => {
-    const places = new OrderPlaces();
+describe('order limiter', () => {
+  it('bounds how many orders are under way at once, whether they succeed or fail', async () => {
+    const limiter = new OrderPlaces();
     let [underWay, most] = [0, 0];
     const outcomes = Array.from({ length: 1_000 }, (_, index) =>
-      places
+      limiter
         .run(async () => {
           underWay += 1;
           most = Math.max(most, underWay);
--- a/packages/entry/src/groups/order-places.ts
+++ b/packages/entry/src/groups/order-places.ts
@@ -1,36 +1,36 @@
-/** Bounds how many orders are under way at once. */
+/** Limits how many orders to hosts are under way at the same time. */
 
 /**
- * Orders under way at once. Each has 0.4 s to be answered; when groups of 3,000 hosts are formed, as many orders are
- * due in one moment, and a small host that sends all of them at once reads none of the answers in time: all count as
- * unanswered and are sent again. A hundred take some milliseconds.
+ * Maximum number of orders under way at the same time. Each must be answered within 0.4 s. When groups of 3,000 hosts
+ * are formed, 3,000 orders are due at once; a small machine that sends them all together can not read the answers in
+ * time, so all count as unanswered and are sent again. A hundred orders take a few milliseconds.
  */
-const MOST_AT_ONCE = 100;
+const MAX_CONCURRENT_ORDERS = 100;
 
-/** Places for orders, given in the order in which they were asked for. */
+/** Runs at most {@link MAX_CONCURRENT_ORDERS} calls at the same time; further calls wait in the order of arrival. */
 export class OrderPlaces {
   readonly #waiting: (() => void)[] = [];
-  #taken = 0;
+  #running = 0;
 
-  /** Runs the call once there is a place for it. */
+  /** Runs the call, once fewer than the maximum are running, and returns its result. */
   async run<T>(call: () => Promise<T>): Promise<T> {
-    if (this.#taken >= MOST_AT_ONCE) {
+    if (this.#running >= MAX_CONCURRENT_ORDERS) {
       await new Promise<void>(resolve => this.#waiting.push(resolve));
     } else {
-      this.#taken += 1;
+      this.#running += 1;
     }
     try {
       return await call();
     } finally {
-      this.#leave();
+      this.#release();
     }
   }
 
-  // Whoever waits takes the place over.
-  #leave(): void {
+  // Hands the slot to the call that has waited longest, or frees it.
+  #release(): void {
     const next = this.#waiting.shift();
     if (next === undefined) {
-      this.#taken -= 1;
+      this.#running -= 1;
     } else {
       next();
     }
--- a/packages/entry/src/groups/order-protocol.test.ts
+++ b/packages/entry/src/groups/order-protocol.test.ts
@@ -1,8 +1,8 @@
 /**
- * The order protocol under any order of events: two order givers with old views and a planner that
- * orders anything, orders that are lost, late or doubled, and hosts that start anew. With the guard
- * and the order sequence no group opens without its members, and no host is taken from an open
- * group; without either of them a counterexample is found.
+ * Tests the order protocol with generated events: two lease holders with stale views, a planner that orders anything,
+ * orders that are lost, late or duplicated, and hosts that restart. With the guard, the order sequence and the check
+ * of the incarnation, no group opens without its members and no host is taken from an open group. Without any one of
+ * them, a counterexample is found.
  */
 import { expect } from 'chai';
 import fc from 'fast-check';
@@ -27,19 +27,20 @@
   stagedModelsKept: 1,
 };
 
-/** What is left out of the protocol, to show that it is needed. */
+/** Protections of the protocol; each is switched off in a test to show that it is needed. */
 type Protections = {
   readonly guard: boolean;
   readonly sequence: boolean;
-  /** Orders go only to the start of a host that the order giver has seen. */
-  readonly start: boolean;
+  /** Orders are sent only to the incarnation of a host that the lease holder has observed. */
+  readonly incarnation: boolean;
 };
 
-const ALL: Protections = { guard: true, sequence: true, start: true };
+const ALL: Protections = { guard: true, sequence: true, incarnation: true };
 
-/** What a host has when its process starts again: another id, or the one that it had. */
+/** Whether a host has a new id after a restart, or keeps its id. */
 type Restarts = 'new-id' | 'same-id';
 
+/** A host of the model. */
 type ModelHost = {
   id: string;
   start: number;
@@ -48,37 +49,39 @@
   membership: Membership | undefined;
   members: readonly string[];
 };
-type Sent = {
+/** An order in the network. */
+type SentOrder = {
   readonly host: string;
   readonly order: HostOrder;
   readonly expected: number;
-  /** Told that it was taken. */
-  readonly learn: (sequence: number) => void;
-  /** Start of the host that it has reached. */
-  takenAt?: number;
+  /** Records the host's new sequence at the lease holder once the host has accepted the order. */
+  readonly onAccepted: (sequence: number) => void;
+  /** Number of the host start that the order was first delivered to. */
+  deliveredToStart?: number;
 };
 
 /** One event, chosen by numbers so that counterexamples shrink. */
 type Step = {
   readonly action: number;
-  readonly giver: number;
+  readonly holder: number;
   readonly a: number;
   readonly b: number;
 };
 
-class Giver {
+/** A process that sends orders, with the host entries that it last observed. */
+class LeaseHolder {
   view: readonly HostEntry[] = [];
   readonly observer = new GroupObserver(id => this.view.find(host => host.id === id));
   readonly term: number;
-  /** Sequences as answers to orders have told them, with the group that the host is in, by host. */
+  /** Sequences from answers to orders, with the group that the host was in, by host incarnation or id. */
   readonly sequences = new Map<string, { sequence: number; group: string | undefined }>();
-  formed = 0;
+  formedCount = 0;
 
   constructor(term: number) {
     this.term = term;
   }
 
-  see(view: readonly HostEntry[]): void {
+  observe(view: readonly HostEntry[]): void {
     this.view = view;
     this.observer.observe(replicaGroups(view), PROFILE, 0);
   }
@@ -88,6 +91,7 @@
   }
 }
 
+/** The hosts, two lease holders and the orders in the network; it records the first violation of the protocol. */
 class World {
   readonly hosts: ModelHost[] = Array.from({ length: HOSTS }, (_, index) => ({
     id: `x${index}`,
@@ -97,10 +101,10 @@
     membership: undefined,
     members: [],
   }));
-  readonly givers = [new Giver(1), new Giver(2)];
-  readonly network: Sent[] = [];
+  readonly holders = [new LeaseHolder(1), new LeaseHolder(2)];
+  readonly network: SentOrder[] = [];
   readonly wasReady = new Set<string>();
-  broken: string | undefined;
+  violation: string | undefined;
   readonly #protections: Protections;
   readonly #restarts: Restarts;
 
@@ -109,20 +113,20 @@
     this.#restarts = restarts;
   }
 
-  step({ action, giver: giverIndex, a, b }: Step): void {
-    const giver = this.givers[giverIndex % 2] as Giver;
+  step({ action, holder: holderIndex, a, b }: Step): void {
+    const holder = this.holders[holderIndex % 2] as LeaseHolder;
     const host = this.hosts[a % HOSTS] as ModelHost;
     switch (action % 11) {
       case 0:
       case 1:
-        giver.see(this.hosts.map(entryOf));
+        holder.observe(this.hosts.map(entryOf));
         break;
       case 2:
-        this.#form(giver, host, this.hosts[(a + 1 + (b % (HOSTS - 1))) % HOSTS] as ModelHost);
+        this.#orderJoin(holder, host, this.hosts[(a + 1 + (b % (HOSTS - 1))) % HOSTS] as ModelHost);
         break;
       case 3:
       case 4:
-        this.#toHead(giver, a, action % 11 === 3 ? 'open' : 'leave');
+        this.#orderHead(holder, a, action % 11 === 3 ? 'open' : 'leave');
         break;
       case 5:
         this.#finishLoad(host);
@@ -132,107 +136,110 @@
         this.#deliver(a, b % 3 === 0);
         break;
       case 8:
-        // One host is out of sight of the store, and may serve all the same.
-        giver.see(this.hosts.filter(seen => seen !== host).map(entryOf));
+        // One host is cut off from the store but may still serve.
+        holder.observe(this.hosts.filter(observed => observed !== host).map(entryOf));
         break;
       case 9:
-        this.#leaveMember(giver, host);
+        this.#orderMemberToLeave(holder, host);
         break;
       default:
         this.#restart(host);
     }
   }
 
-  #form(giver: Giver, head: ModelHost, other: ModelHost): void {
-    giver.formed += 1;
-    const epoch = giver.term * 1_000 + giver.formed;
+  #orderJoin(holder: LeaseHolder, head: ModelHost, other: ModelHost): void {
+    holder.formedCount += 1;
+    const epoch = holder.term * 1_000 + holder.formedCount;
     const members = [head.id, other.id];
     const order: HostOrder = { kind: 'join', group: `g${epoch}`, epoch, model: 'm', members };
     for (const host of [head, other]) {
-      this.#send(giver, host, order);
+      this.#send(holder, host, order);
     }
   }
 
-  #toHead(giver: Giver, pick: number, kind: 'open' | 'leave'): void {
-    const groups = replicaGroups(giver.view);
+  #orderHead(holder: LeaseHolder, pick: number, kind: 'open' | 'leave'): void {
+    const groups = replicaGroups(holder.view);
     const group = groups[pick % Math.max(1, groups.length)];
     const head = this.hosts.find(host => host.id === group?.head?.id);
     if (group !== undefined && head !== undefined) {
-      this.#send(giver, head, { kind, group: group.name, epoch: group.epoch });
+      this.#send(holder, head, { kind, group: group.name, epoch: group.epoch });
     }
   }
 
-  #leaveMember(giver: Giver, host: ModelHost): void {
-    const seen = giver.view.find(entry => entry.id === host.id)?.membership;
-    if (seen !== undefined && seen.rank > 0) {
-      this.#send(giver, host, { kind: 'leave', group: seen.group, epoch: seen.epoch });
+  #orderMemberToLeave(holder: LeaseHolder, host: ModelHost): void {
+    const observed = holder.view.find(entry => entry.id === host.id)?.membership;
+    if (observed !== undefined && observed.rank > 0) {
+      this.#send(holder, host, { kind: 'leave', group: observed.group, epoch: observed.epoch });
     }
   }
 
-  #send(giver: Giver, host: ModelHost, order: HostOrder): void {
-    const entry = giver.view.find(candidate => candidate.id === host.id);
+  #send(holder: LeaseHolder, host: ModelHost, order: HostOrder): void {
+    const entry = holder.view.find(candidate => candidate.id === host.id);
     if (entry === undefined) {
       return;
     }
-    const key = this.#protections.start ? incarnationOf(entry) : entry.id;
-    const known = giver.sequences.get(key);
-    const isCurrent = known !== undefined && known.group === entry.membership?.group;
-    const expected = isCurrent ? known.sequence : this.#askSequence(host, entry);
+    const key = this.#protections.incarnation ? incarnationOf(entry) : entry.id;
+    const knownSequence = holder.sequences.get(key);
+    const isCurrent =
+      knownSequence !== undefined && knownSequence.group === entry.membership?.group;
+    const expected = isCurrent ? knownSequence.sequence : this.#fetchSequence(host, entry);
     if (expected === undefined) {
       return;
     }
     const view = {
-      hosts: giver.view,
-      beliefs: giver.beliefs(),
+      hosts: holder.view,
+      beliefs: holder.beliefs(),
       sizeOf: () => SIZE,
     };
     if (this.#protections.guard && refuseOrder(entry, order, view) !== undefined) {
       return;
     }
-    const learn = (sequence: number): void => {
-      giver.sequences.set(key, { sequence, group: host.membership?.group });
+    const onAccepted = (sequence: number): void => {
+      holder.sequences.set(key, { sequence, group: host.membership?.group });
     };
-    this.network.push({ host: host.id, order, expected, learn });
+    this.network.push({ host: host.id, order, expected, onAccepted });
   }
 
-  // It counts only while the host tells of the group, and of the start, that is believed.
-  #askSequence(host: ModelHost, entry: HostEntry): number | undefined {
+  // The sequence is used only while the host reports the group, and the start, that its entry shows.
+  #fetchSequence(host: ModelHost, entry: HostEntry): number | undefined {
     const isSameGroup = entry.membership?.group === host.membership?.group;
-    const isSame = isSameGroup && (!this.#protections.start || entry.startedAt === host.start);
+    const isSame =
+      isSameGroup && (!this.#protections.incarnation || entry.startedAt === host.start);
     return isSame ? host.sequence : undefined;
   }
 
-  #deliver(pick: number, again: boolean): void {
+  #deliver(pick: number, isDuplicated: boolean): void {
     const index = pick % Math.max(1, this.network.length);
     const sent = this.network[index];
     if (sent === undefined) {
       return;
     }
-    if (!again) {
+    if (!isDuplicated) {
       this.network.splice(index, 1);
     }
     const host = this.hosts.find(candidate => candidate.id === sent.host);
-    // An order that an earlier start has not carried out reaches a later one that has its id; none is carried out
-    // by both, since it is delivered once.
-    const isOfEarlierStart = sent.takenAt !== undefined && sent.takenAt !== host?.start;
+    // An order that an earlier incarnation has not received may reach a later one with the same id. Both never carry
+    // it out, since only one incarnation receives it, even if it is duplicated.
+    const isOfEarlierStart =
+      sent.deliveredToStart !== undefined && sent.deliveredToStart !== host?.start;
     if (host !== undefined && !isOfEarlierStart) {
-      sent.takenAt = host.start;
+      sent.deliveredToStart = host.start;
       this.#carryOut(host, sent);
     }
   }
 
-  #carryOut(host: ModelHost, { order, expected, learn }: Sent): void {
+  #carryOut(host: ModelHost, { order, expected, onAccepted }: SentOrder): void {
     if (this.#protections.sequence && expected !== host.sequence) {
       return;
     }
     const before = host.sequence;
-    this.#obey(host, order);
+    this.#apply(host, order);
     if (host.sequence > before) {
-      learn(host.sequence);
+      onAccepted(host.sequence);
     }
   }
 
-  #obey(host: ModelHost, order: HostOrder): void {
+  #apply(host: ModelHost, order: HostOrder): void {
     if (order.kind === 'join') {
       this.#join(host, order);
     } else if (order.kind === 'open' || order.kind === 'leave') {
@@ -244,7 +251,7 @@
       if (order.kind === 'leave') {
         host.membership = undefined;
       } else if (own.rank === 0 && own.state === 'ready') {
-        this.#checkWhole(host);
+        this.#checkComplete(host);
         host.membership = { ...own, state: 'open' };
       }
     }
@@ -254,7 +261,7 @@
     if (order.epoch < host.highestEpoch || host.membership?.group === order.group) {
       return;
     }
-    this.#checkFree(host);
+    this.#checkNotInOpenGroup(host);
     host.highestEpoch = order.epoch;
     host.sequence += 1;
     host.members = order.members;
@@ -269,7 +276,7 @@
     }
   }
 
-  // It knows nothing of before. With another id, orders to the old one reach nobody.
+  // A restarted host has lost its state. If its id is new, orders to the old id are not delivered.
   #restart(host: ModelHost): void {
     host.start += 1;
     if (this.#restarts === 'new-id') {
@@ -280,19 +287,19 @@
     host.membership = undefined;
   }
 
-  #checkWhole(head: ModelHost): void {
+  #checkComplete(head: ModelHost): void {
     const group = head.membership?.group;
     if (!head.members.every(id => this.wasReady.has(`${group} ${id}`))) {
-      this.broken = `${group} opens although a member was never ready`;
+      this.violation = `${group} opens although a member was never ready`;
     }
   }
 
-  #checkFree(host: ModelHost): void {
+  #checkNotInOpenGroup(host: ModelHost): void {
     const own = host.membership;
     const head = this.hosts.find(candidate => candidate.id === host.members[0]);
     if (own !== undefined && head?.membership?.group === own.group) {
       if (head.membership.state === 'open') {
-        this.broken = `${host.id} is taken from ${own.group}, which is open`;
+        this.violation = `${host.id} is taken from ${own.group}, which is open`;
       }
     }
   }
@@ -306,7 +313,7 @@
   });
 }
 
-function play(
+function run(
   steps: readonly Step[],
   protections: Protections,
   restarts: Restarts,
@@ -314,8 +321,8 @@
   const world = new World(protections, restarts);
   for (const step of steps) {
     world.step(step);
-    if (world.broken !== undefined) {
-      return world.broken;
+    if (world.violation !== undefined) {
+      return world.violation;
     }
   }
   return undefined;
@@ -323,26 +330,26 @@
 
 const STEP = fc.record({
   action: fc.nat(10),
-  giver: fc.nat(1),
+  holder: fc.nat(1),
   a: fc.nat(7),
   b: fc.nat(5),
 });
 const SEED = 20_261_202;
 
 /**
- * Found by a search of some million runs: both order givers have orders under way to a host that starts again under
- * its id, and one of them knows its order sequence from before.
+ * Found by a search of some million runs: both lease holders have orders under way to a host that restarts with the
+ * same id, and one of them still has the order sequence of the earlier incarnation.
  */
 const RESTART_UNDER_ORDERS = stepsOf(
   '0000 2000 2000 6001 0100 6051 4100 6050 2001 a000 6001 0100 ' +
     '6001 5010 2100 5000 0000 0000 3000 3000 6050 0000 0000 6010',
 );
 
-// Steps as hexadecimal digits: action, order giver, and two picks.
+// Parses steps of four hexadecimal digits: the action, the lease holder, and two numbers that choose hosts or orders.
 function stepsOf(text: string): readonly Step[] {
   return text.split(' ').map(word => {
-    const [action = 0, giver = 0, a = 0, b = 0] = [...word].map(digit => parseInt(digit, 16));
-    return { action, giver, a, b };
+    const [action = 0, holder = 0, a = 0, b = 0] = [...word].map(digit => parseInt(digit, 16));
+    return { action, holder, a, b };
   });
 }
 
@@ -354,7 +361,7 @@
   const protections = { ...ALL, ...without };
   const result = fc.check(
     fc.property(fc.array(STEP, { minLength: 20, maxLength: 120, size: 'max' }), steps => {
-      return play(steps, protections, restarts) === undefined;
+      return run(steps, protections, restarts) === undefined;
     }),
     { numRuns: runs, seed: SEED, endOnFailure: true },
   );
@@ -362,12 +369,12 @@
 }
 
 describe('order protocol', () => {
-  it('keeps groups whole and apart under any order of events', () => {
+  it('keeps groups complete and disjoint under any order of events', () => {
     expect(counterexample({}, 'new-id', 20_000)).to.equal(undefined);
   }).timeout(60_000);
 
-  it('keeps them so when hosts start again under their ids', () => {
-    expect(play(RESTART_UNDER_ORDERS, ALL, 'same-id')).to.equal(undefined);
+  it('keeps groups complete and disjoint when hosts restart with the same ids', () => {
+    expect(run(RESTART_UNDER_ORDERS, ALL, 'same-id')).to.equal(undefined);
     expect(counterexample({}, 'same-id', 20_000)).to.equal(undefined);
   }).timeout(60_000);
 
@@ -379,7 +386,7 @@
     expect(counterexample({ sequence: false }, 'new-id', 20_000)).to.be.a('string');
   }).timeout(60_000);
 
-  it('breaks without telling starts apart', () => {
-    expect(play(RESTART_UNDER_ORDERS, { ...ALL, start: false }, 'same-id')).to.be.a('string');
+  it('breaks without the check of the incarnation', () => {
+    expect(run(RESTART_UNDER_ORDERS, { ...ALL, incarnation: false }, 'same-id')).to.be.a('string');
   });
 });
--- a/packages/entry/src/groups/order-sender.test.ts
+++ b/packages/entry/src/groups/order-sender.test.ts
@@ -38,44 +38,44 @@
     pace: 1,
   };
 
-  it('does not begin a staging anew that an earlier order giver has ordered', async () => {
+  it('does not restart a staging that an earlier lease holder has ordered', async () => {
     const { sent, sender } = senderTo({ ...idle, hasOrderUnderWay: true });
     expect(await sender.send(testHost('h'), STAGE, 'spare', 1)).to.equal('occupied');
     expect(sent).to.deep.equal([]);
   });
 
-  it('stages with the sequence that the host tells of', async () => {
+  it('sends a staging with the sequence that the host reports', async () => {
     const { sent, sender } = senderTo(idle);
     expect(await sender.send(testHost('h'), STAGE, 'spare', 1)).to.equal('begun');
     expect(sent).to.deep.equal([{ order: STAGE, expectedSequence: 3 }]);
   });
 
-  it('asks again what the host is doing after a staging met another sequence', async () => {
+  it('asks the host for its report again after a staging met another sequence', async () => {
     const { sent, sender } = senderTo(idle, 'conflict');
     await sender.send(testHost('h'), STAGE, 'spare', 1);
     await sender.send(testHost('h'), STAGE, 'spare', 1);
-    expect(sent.map(one => one.expectedSequence)).to.deep.equal([3, 3]);
+    expect(sent.map(each => each.expectedSequence)).to.deep.equal([3, 3]);
   });
 
-  it('leaves a host alone that does not tell its sequence', async () => {
+  it('sends no order to a host that does not report its sequence', async () => {
     const { sent, sender } = senderTo(undefined);
     expect(await sender.send(testHost('h'), STAGE, 'spare', 1)).to.equal('unanswered');
     expect(sent).to.deep.equal([]);
   });
 
-  it('asks a host anew that has started again under its id', async () => {
+  it('asks a host for its report again after it has restarted with the same id', async () => {
     const { sent, sender } = senderTo({ ...idle, startedAt: 20 });
     const host = testHost('h', { startedAt: 10 });
-    // The report is of a later start than the entry that the order is planned by.
+    // The report is of a later incarnation than the entry that the order was planned from.
     expect(await sender.send(host, STAGE, 'spare', 1)).to.equal('unanswered');
-    const again = testHost('h', { startedAt: 20 });
-    expect(await sender.send(again, STAGE, 'spare', 1)).to.equal('begun');
-    const third = testHost('h', { startedAt: 20 });
-    await sender.send(third, STAGE, 'spare', 1);
-    expect(sent.map(one => one.expectedSequence)).to.deep.equal([3, 4]);
+    const restarted = testHost('h', { startedAt: 20 });
+    expect(await sender.send(restarted, STAGE, 'spare', 1)).to.equal('begun');
+    const laterEntry = testHost('h', { startedAt: 20 });
+    await sender.send(laterEntry, STAGE, 'spare', 1);
+    expect(sent.map(each => each.expectedSequence)).to.deep.equal([3, 4]);
   });
 
-  it('remembers a bounded number of hosts, and asks the others again', async () => {
+  it('remembers the sequences of a bounded number of hosts, and asks the others again', async () => {
     const { sent, sender } = senderTo(idle);
     const hosts = Array.from({ length: 4_097 }, (_, index) => testHost(`h${index}`));
     for (const host of hosts) {
@@ -83,10 +83,10 @@
     }
     await sender.send(testHost('h4096'), STAGE, 'spare', 1);
     await sender.send(testHost('h0'), STAGE, 'spare', 1);
-    expect(sent.slice(-2).map(one => one.expectedSequence)).to.deep.equal([4, 3]);
+    expect(sent.slice(-2).map(each => each.expectedSequence)).to.deep.equal([4, 3]);
   });
 
-  it('plans no group by an entry that does not show the last order yet', async () => {
+  it('sends no order that was planned from an entry that does not show the last order yet', async () => {
     const { sent, sender } = senderTo({ ...idle, group: 'g1' });
     const join: HostOrder = { kind: 'join', group: 'g1', epoch: 1, model: 'm', members: ['h'] };
     const host = testHost('h');
@@ -99,7 +99,7 @@
     expect(sent.map(({ order }) => order.kind)).to.deep.equal(['join', 'open']);
   });
 
-  it('sends nothing when the lease has lapsed while the host was asked', async () => {
+  it('sends nothing when the lease has lapsed while the host was asked for its report', async () => {
     const { sent, orders } = ordersOf(idle);
     let term: number | undefined = 1;
     const sender = new OrderSender(
--- a/packages/entry/src/groups/order-sender.ts
+++ b/packages/entry/src/groups/order-sender.ts
@@ -1,4 +1,4 @@
-/** Sends orders, one at a time to a host, and keeps each host's expected order sequence. */
+/** Sends orders, at most one at a time to each host, and tracks the order sequence that each host expects. */
 import type { HostEntry } from '../hosts/host-entry.js';
 import { isSameStart } from '../hosts/host-entry.js';
 import { StartMemory } from '../hosts/start-memory.js';
@@ -9,43 +9,43 @@
 import type { HostOrder, HostOrders, HostReport, OrderOutcome } from './host-orders.js';
 import { OrderPlaces } from './order-places.js';
 
-/** Time in which a host answers a question about its order sequence, in milliseconds. */
+/** Timeout of a request for a host's report, in milliseconds. */
 const REPORT_TIMEOUT_MS = 300;
-/** Time by which a report may lag behind the host, in milliseconds. */
-const REPORT_LAG_MS = 250;
-/** The order sequence of a host, and the group that it is in with it. */
+/** Longest time by which a report lags behind the state of the host, in milliseconds. */
+const MAX_REPORT_LAG_MS = 250;
+/** The last known order sequence of a host, and the name of the group that the host was in at that sequence. */
 type KnownSequence = { readonly sequence: number; readonly group: string | undefined };
 
-/** Sends orders and tells their outcomes. */
+/** Sends orders to hosts with the order sequence that each host expects, and returns the outcomes. */
 export class OrderSender {
   readonly #orders: HostOrders;
   readonly #log: Log;
   readonly #counters: Counters;
-  readonly #holds: (term: number) => boolean;
-  readonly #places = new OrderPlaces();
+  readonly #holdsTerm: (term: number) => boolean;
+  readonly #limiter = new OrderPlaces();
   readonly #busy = new Set<string>();
-  /** By start of the host: a process that starts again counts anew. */
+  /** Kept by host incarnation, because a restarted process begins its sequence at 0. */
   readonly #sequences = new StartMemory<KnownSequence>();
 
-  /** `holds` is true while the lease is held in a term. */
+  /** `holdsTerm` returns true while this process holds the lease in the given term. */
   constructor(
     orders: HostOrders,
     log: Log,
     counters: Counters,
-    holds: (term: number) => boolean = () => true,
+    holdsTerm: (term: number) => boolean = () => true,
   ) {
-    this.#holds = holds;
+    this.#holdsTerm = holdsTerm;
     this.#orders = orders;
     this.#log = log;
     this.#counters = counters;
   }
 
-  /** Hosts with an order under way. */
+  /** Ids of hosts with an order under way. */
   get busy(): ReadonlySet<string> {
     return this.#busy;
   }
 
-  /** Sends an order unless one is under way to the host. */
+  /** Sends an order; returns undefined, without sending it, while another order to the host is under way. */
   async send(
     host: HostEntry,
     order: HostOrder,
@@ -57,7 +57,7 @@
     }
     this.#busy.add(host.id);
     try {
-      return await this.#places.run(() => this.#sendNow(host, order, reason, term));
+      return await this.#limiter.run(() => this.#sendNow(host, order, reason, term));
     } finally {
       this.#busy.delete(host.id);
     }
@@ -69,13 +69,13 @@
     reason: OrderReason,
     term: number,
   ): Promise<OrderOutcome> {
-    const expected = await this.#expected(host, order);
+    const expected = await this.#expectedSequence(host, order);
     if (typeof expected !== 'number') {
       return expected;
     }
-    // The host was asked meanwhile, and this process may have been suspended: another one may give orders now,
-    // and what this order was planned by may be long over.
-    if (!this.#holds(term)) {
+    // Asking the host took time, and this process may have been suspended: another entry host may hold the lease by
+    // now, and the state that the order was planned from may be out of date.
+    if (!this.#holdsTerm(term)) {
       return 'lease-lost';
     }
     const outcome = await this.#orders.send(host, order, expected);
@@ -90,50 +90,53 @@
       expectedSequence: expected,
       outcome,
     });
-    await this.#learn(host, order, expected, outcome);
+    await this.#updateSequence(host, order, expected, outcome);
     return outcome;
   }
 
-  // A host that tells of no model and no group has most likely taken no order yet; a wrong guess
-  // is answered with a conflict.
-  async #expected(host: HostEntry, order: HostOrder): Promise<number | 'occupied' | 'unanswered'> {
+  // A host without a staged model and without a group has most likely accepted no order yet, so its sequence is
+  // assumed to be 0 without asking. A host that expects another sequence answers with a conflict.
+  async #expectedSequence(
+    host: HostEntry,
+    order: HostOrder,
+  ): Promise<number | 'occupied' | 'unanswered'> {
     const known = this.#sequences.get(host);
-    // While the entry does not show yet what the last order has brought, plans for the host's group are out of
-    // date. A staging does not touch the group.
+    // Until the host's entry shows the effect of the last order, plans for its group are out of date. A staging
+    // does not change the group.
     const isCurrentGroup = known?.group === host.membership?.group;
     if (known !== undefined && (isCurrentGroup || order.kind === 'stage')) {
       return known.sequence;
     }
-    const untouched = host.membership === undefined && host.stagedModels.length === 0;
-    if (known === undefined && untouched && order.kind !== 'stage') {
+    const isUnused = host.membership === undefined && host.stagedModels.length === 0;
+    if (known === undefined && isUnused && order.kind !== 'stage') {
       return 0;
     }
     const report = await this.#orders.report(host, REPORT_TIMEOUT_MS);
-    // A second staging would begin its load anew, and the first one's time would be lost.
+    // A second staging would restart the load, and the time that the first one has spent would be lost.
     if (report?.hasOrderUnderWay === true && order.kind === 'stage') {
       return 'occupied';
     }
-    // Else the sequence would guard nothing.
+    // A sequence of a newer state than the one the order was planned from would not stop an outdated order.
     return isCurrent(report, host) ? report.orderSequence : 'unanswered';
   }
 
-  async #learn(
+  async #updateSequence(
     host: HostEntry,
     order: HostOrder,
     expected: number,
     outcome: OrderOutcome,
   ): Promise<void> {
-    // A leave is done as soon as it has begun.
-    const begun = outcome === 'begun' || (outcome === 'done' && order.kind === 'leave');
+    // A leave completes at once: its outcome 'done' has raised the sequence too.
+    const hasAdvanced = outcome === 'begun' || (outcome === 'done' && order.kind === 'leave');
     const group = groupAfter(order, host);
-    if (begun) {
+    if (hasAdvanced) {
       this.#sequences.set(host, { sequence: expected + 1, group });
     } else if (outcome === 'conflict' && order.kind === 'stage') {
-      // Another order giver has been there: the next attempt asks what the host is doing.
+      // Another lease holder has sent an order: the next staging asks the host for its report first.
       this.#sequences.delete(host);
     } else if (outcome === 'conflict') {
-      // A report shows the host as it stood a little earlier.
-      await sleep(REPORT_LAG_MS);
+      // Reports lag behind the host's state, so wait before asking for one.
+      await sleep(MAX_REPORT_LAG_MS);
       const report = await this.#orders.report(host, REPORT_TIMEOUT_MS);
       if (isCurrent(report, host)) {
         this.#sequences.set(host, { sequence: report.orderSequence, group: report.group });
@@ -146,7 +149,7 @@
   }
 }
 
-// What is believed of the host is as new as its report, and of the same start of its process.
+// True when the host's entry matches the report: the same incarnation and the same group.
 function isCurrent(report: HostReport | undefined, host: HostEntry): report is HostReport {
   return (
     report !== undefined &&
@@ -155,7 +158,7 @@
   );
 }
 
-// The group that the host is in once it has taken the order.
+// The name of the group that the host is in once it has accepted the order.
 function groupAfter(order: HostOrder, host: HostEntry): string | undefined {
   if (order.kind === 'leave') {
     return undefined;
