--- a/packages/entry/src/groups/group-beliefs.ts
+++ b/packages/entry/src/groups/group-beliefs.ts
@@ -56,7 +56,7 @@
   readonly silent: ReadonlyMap<string, number>;
   /** Hosts that last reported that they are slow; a group runs at the pace of its slowest member. */
   readonly slow: ReadonlySet<string>;
-  /** Hosts that began to answer probes again within the last two seconds. */
+  /** Hosts that have only just begun to answer probes again. */
   readonly justBack: ReadonlySet<string>;
   /** Hosts that answer probes although their entries have been removed, with their last entries. */
   readonly unlisted: ReadonlyMap<string, HostEntry>;
--- a/packages/entry/src/groups/group-repair.ts
+++ b/packages/entry/src/groups/group-repair.ts
@@ -39,7 +39,7 @@
   if (dissolvingSince !== undefined) {
     return advanceDissolution(group, head, now - dissolvingSince);
   }
-  const size = sizeOf(group, profile, known);
+  const size = requiredSize(group, profile, known);
   switch (headState(group)) {
     case 'open':
       return repairOpen(group, head, size, known);
@@ -96,7 +96,7 @@
 }
 
 /** Number of hosts that the group's model needs; undefined while the model is not known. */
-export function sizeOf(
+export function requiredSize(
   group: ReplicaGroup,
   profile: EngineProfile,
   known: GroupBeliefs,
--- a/packages/entry/src/groups/group-task.ts
+++ b/packages/entry/src/groups/group-task.ts
@@ -70,7 +70,7 @@
 const DEPARTED_PROBE_MS = 700;
 /** Factor on the expected duration of a formation, for its deadline. */
 const LOAD_SLACK_FACTOR = 2;
-/** Loads allowed in addition to those that run in parallel at full speed, so that there are always as many of those. */
+/** Loads beyond those that run in parallel at full speed, so that none of the full-speed slots stays empty. */
 const EXTRA_LOADS = 1;
 /** Pause before a join that was not accepted is sent again, in milliseconds. */
 const JOIN_RETRY_MS = 250;
--- a/packages/entry/src/groups/order-guard.test.ts
+++ b/packages/entry/src/groups/order-guard.test.ts
@@ -1,6 +1,6 @@
 /**
- * Compares the guard with a naive model of hosts, also by generated states: whatever is planned, no group opens without
- * all its members, and no host is taken from a group that may still serve.
+ * Checks the guard by examples, and by generated states against a naive model: whatever is planned, no group opens
+ * without all its members, and no host is taken from a group that may still serve.
  */
 import { expect } from 'chai';
 import fc from 'fast-check';
@@ -106,12 +106,13 @@
         const missingSince =
           knownHead.missingForMs === undefined ? undefined : 10_000 - knownHead.missingForMs;
         const host = member('a', 0, 'open');
-        const beliefs = testBeliefs({
+        const known = testBeliefs({
           heads: new Map([['g', { host, missingSince, left: knownHead.left }]]),
         });
         const follower = member('b', 1, 'ready');
         const order: HostOrder = { ...JOIN, epoch } as HostOrder;
-        const allowed = refuseOrder(follower, order, viewOf([follower], { beliefs })) === undefined;
+        const allowed =
+          refuseOrder(follower, order, viewOf([follower], { beliefs: known })) === undefined;
         const isReleased = knownHead.left;
         expect(allowed).to.equal(isReleased && epoch > 1);
       }),
--- a/packages/entry/src/groups/order-protocol.test.ts
+++ b/packages/entry/src/groups/order-protocol.test.ts
@@ -18,9 +18,9 @@
 import { replicaGroups } from './replica-groups.js';
 
 const HOSTS = 4;
-const SIZE = 2;
+const GROUP_SIZE = 2;
 const PROFILE: EngineProfile = {
-  models: [{ name: 'm', size: SIZE, pace: 1, workShare: 1, loadMs: 1, warmMs: 1 }],
+  models: [{ name: 'm', size: GROUP_SIZE, pace: 1, workShare: 1, loadMs: 1, warmMs: 1 }],
   slots: 1,
   loadsPerSecond: 1,
   loadsAtOnce: 1,
@@ -43,6 +43,7 @@
 /** A host of the model. */
 type ModelHost = {
   id: string;
+  /** Number of restarts. */
   start: number;
   sequence: number;
   highestEpoch: number;
@@ -62,9 +63,12 @@
 
 /** One event, chosen by numbers so that counterexamples shrink. */
 type Step = {
+  /** Number of the kind of event, as in {@link World.step}. */
   readonly action: number;
   readonly holder: number;
+  /** Chooses a host, a group or an order; out-of-range values wrap around. */
   readonly a: number;
+  /** Chooses the second member of a new group, or whether a delivered order is duplicated. */
   readonly b: number;
 };
 
@@ -86,7 +90,7 @@
     this.observer.observe(replicaGroups(view), PROFILE, 0);
   }
 
-  beliefs(): GroupBeliefs {
+  knownState(): GroupBeliefs {
     return testBeliefs({ heads: this.observer.heads });
   }
 }
@@ -103,6 +107,7 @@
   }));
   readonly holders = [new LeaseHolder(1), new LeaseHolder(2)];
   readonly network: SentOrder[] = [];
+  /** Group name and host id of each member that has become ready. */
   readonly wasReady = new Set<string>();
   violation: string | undefined;
   readonly #protections: Protections;
@@ -188,8 +193,8 @@
     }
     const view = {
       hosts: holder.view,
-      beliefs: holder.beliefs(),
-      sizeOf: () => SIZE,
+      beliefs: holder.knownState(),
+      sizeOf: () => GROUP_SIZE,
     };
     if (this.#protections.guard && refuseOrder(entry, order, view) !== undefined) {
       return;
@@ -243,16 +248,16 @@
     if (order.kind === 'join') {
       this.#join(host, order);
     } else if (order.kind === 'open' || order.kind === 'leave') {
-      const own = host.membership;
-      if (own?.group !== order.group || own.epoch !== order.epoch) {
+      const membership = host.membership;
+      if (membership?.group !== order.group || membership.epoch !== order.epoch) {
         return;
       }
       host.sequence += 1;
       if (order.kind === 'leave') {
         host.membership = undefined;
-      } else if (own.rank === 0 && own.state === 'ready') {
+      } else if (membership.rank === 0 && membership.state === 'ready') {
         this.#checkComplete(host);
-        host.membership = { ...own, state: 'open' };
+        host.membership = { ...membership, state: 'open' };
       }
     }
   }
@@ -295,11 +300,11 @@
   }
 
   #checkNotInOpenGroup(host: ModelHost): void {
-    const own = host.membership;
+    const membership = host.membership;
     const head = this.hosts.find(candidate => candidate.id === host.members[0]);
-    if (own !== undefined && head?.membership?.group === own.group) {
+    if (membership !== undefined && head?.membership?.group === membership.group) {
       if (head.membership.state === 'open') {
-        this.violation = `${host.id} is taken from ${own.group}, which is open`;
+        this.violation = `${host.id} is taken from ${membership.group}, which is open`;
       }
     }
   }
