--- a/packages/entry/src/routing/domain-reach.ts
+++ b/packages/entry/src/routing/domain-reach.ts
@@ -1,48 +1,49 @@
 /**
- * Tells which failure domains this entry host seems to be cut off from.
+ * Detects which failure domains this entry host is probably cut off from.
  *
- * Each upstream host that can not be reached costs a request the time of a connection attempt.
- * When several hosts of one failure domain fail so in a row, for this entry host or others of its own
- * failure domain, the rest of it is not tried for a while: 30 entry hosts that are cut off together
- * would otherwise lose three requests each, and one more each 1.5 s.
+ * Each unreachable upstream host costs a request the time of a connection attempt. When several hosts of one failure
+ * domain are unreachable in a row, from this entry host or from peers in its own failure domain, the other hosts of
+ * that domain are avoided for a while. Otherwise 30 entry hosts that are cut off together would lose three requests
+ * each, and one more every 1.5 s.
  */
 import { monotonicMs } from '../server/time.js';
 
-/** Hosts that have to be out of reach before their failure domain counts as cut off. */
-const MIN_HOSTS = 3;
-/** Time within which they have to fail, in milliseconds. */
-const WINDOW_MS = 1_200;
+/** Number of unreachable hosts from which their failure domain counts as cut off. */
+const MIN_UNREACHABLE_HOSTS = 3;
+/** Time within which these hosts have to be found unreachable, in milliseconds. */
+const FAILURE_WINDOW_MS = 1_200;
 /** Time for which a failure domain is avoided, in milliseconds. */
 const AVOID_MS = 1_500;
 
-type Reach = { readonly failed: Map<string, number>; avoidUntil: number };
+/** Unreachable hosts of one failure domain, by id, with the time of the last failure; times in monotonic ms. */
+type DomainState = { readonly failed: Map<string, number>; avoidUntil: number };
 
-/** Failure domains by name. */
+/** Reachability of failure domains, by name. */
 export class DomainReach {
-  readonly #domains = new Map<string, Reach>();
+  readonly #domains = new Map<string, DomainState>();
 
-  /** A host could not be reached. */
+  /** Records that a host could not be reached. */
   noteUnreachable(failureDomain: string, hostId: string): void {
     const now = monotonicMs();
-    const reach = this.#domains.get(failureDomain) ?? { failed: new Map(), avoidUntil: -Infinity };
-    this.#domains.set(failureDomain, reach);
-    reach.failed.set(hostId, now);
-    for (const [id, at] of reach.failed) {
-      if (now - at > WINDOW_MS) {
-        reach.failed.delete(id);
+    const domain = this.#domains.get(failureDomain) ?? { failed: new Map(), avoidUntil: -Infinity };
+    this.#domains.set(failureDomain, domain);
+    domain.failed.set(hostId, now);
+    for (const [id, at] of domain.failed) {
+      if (now - at > FAILURE_WINDOW_MS) {
+        domain.failed.delete(id);
       }
     }
-    if (reach.failed.size >= MIN_HOSTS) {
-      reach.avoidUntil = now + AVOID_MS;
+    if (domain.failed.size >= MIN_UNREACHABLE_HOSTS) {
+      domain.avoidUntil = now + AVOID_MS;
     }
   }
 
-  /** Something came from a host of the failure domain. */
+  /** Records that data arrived from a host of the failure domain, which ends its time as cut off. */
   noteProgress(failureDomain: string): void {
     this.#domains.delete(failureDomain);
   }
 
-  /** True while hosts of the failure domain come last; `now` in monotonic milliseconds. */
+  /** True while the failure domain counts as cut off and its hosts are avoided; `now` in monotonic milliseconds. */
   isCutOff(failureDomain: string, now: number): boolean {
     return (this.#domains.get(failureDomain)?.avoidUntil ?? -Infinity) > now;
   }
--- a/packages/entry/src/routing/eligibility.ts
+++ b/packages/entry/src/routing/eligibility.ts
@@ -1,84 +1,87 @@
 /**
- * Tells whether an upstream host may receive a request now, and why not. Pure.
+ * Decides whether an upstream host may receive a request now, or why it may not. Pure.
  *
- * It is asked when a target is chosen and again at the moment of each send: for first and second
+ * The check runs when a target is chosen and again at the moment of each send: for first attempts, retries, hedged
  * attempts, resumed streams and plain calls. Each fact comes from the module that owns it, through
  * `EligibilityFacts`, so that these modules do not depend on each other.
+ *
+ * A limited host is one that is cold or has reported a rate limit: requests may be sent to it only as far as this
+ * entry host has an allowance for it.
  */
 import type { HostEntry, HostIncarnation } from '../hosts/host-entry.js';
 
-/** Whether a host may receive a request; all but `eligible` say why not. */
+/** Whether a host may receive a request; every value except `eligible` is the reason why it may not. */
 export type Eligibility =
   | 'eligible'
   /** The host has announced that it is shutting down. */
   | 'draining'
-  /** This entry host has not yet seen which failure domains are evacuated. */
+  /** This entry host does not know yet which failure domains are evacuated. */
   | 'evacuations-unknown'
   /** The host's failure domain is evacuated. */
   | 'evacuated'
-  /** The request has home regions, and the host is in none that all of them name. */
+  /** The request has home regions, and the host's region is missing from at least one of their lists. */
   | 'outside-home-regions'
-  /** The host has asked this entry host for no requests for a time, which has not passed yet. */
+  /** The host has asked this entry host for a backoff that has not ended yet. */
   | 'backing-off'
-  /** The host is cold, and this entry host may not send it more at this moment. */
+  /** The host is cold, and this entry host has no allowance for it at the moment. */
   | 'cold-limit'
-  /** The host has named a limit of requests a second, and this entry host may not send it more at this moment. */
+  /** The host has reported a rate limit, and this entry host has no allowance for it at the moment. */
   | 'rate-limit';
 
-/** Verdicts that pass with this entry host's next turn at the host, if it has turns there. */
+/** Verdicts that end with this entry host's next allowance for the host, if it gets any. */
 export type PacedVerdict = 'cold-limit' | 'rate-limit';
 
-/** What is known of evacuations. */
+/** The known evacuations of failure domains. */
 export type EvacuationFacts = {
-  /** True once this entry host has seen which failure domains are evacuated, if any can be. */
+  /** True once this entry host knows which failure domains are evacuated, or if none can be. */
   readonly isKnown: boolean;
   readonly isEvacuated: (failureDomain: string) => boolean;
 };
 
-/** A limit on the requests a second that hosts get, as this entry host may use it; times in monotonic milliseconds. */
+/** One kind of limit on the rate of requests to hosts, with this entry host's allowances; `now` in monotonic ms. */
 export type SendPaceFacts = {
-  /** Why a host may not receive a request where the allowance is used up. */
+  /** Verdict on a host for which the allowance is used up. */
   readonly verdict: PacedVerdict;
-  /** True when a request may be sent to the host now. */
+  /** True if a request may be sent to the host now. */
   readonly hasRoom: (host: HostEntry, now: number) => boolean;
-  /** Uses the allowance for one request; false when there is none. */
+  /** Uses the allowance for one request; returns false if there is none. */
   readonly take: (host: HostEntry, now: number) => boolean;
-  /** A request is about to be written; false: the allowance was not used for it, and there is none. */
+  /** Call before a request is written; returns false if no allowance was used for it before and there is none now. */
   readonly write: (host: HostEntry, now: number) => boolean;
-  /** A request for which the allowance was used will not be written. */
+  /** Returns the allowance of a request that will not be written. */
   readonly giveBack: (host: HostEntry) => void;
 };
 
-/** What hosts have asked of this entry host. */
+/** The backoffs that hosts have asked for. */
 export type BackoffFacts = {
-  /** For how much longer the host wants no requests, in milliseconds; 0: it takes them. */
+  /** Rest of the host's backoff, in milliseconds; 0 if it has none. */
   readonly backoffLeftMs: (host: HostIncarnation, now: number) => number;
 };
 
-/** All facts that decide. */
+/** All facts that decide about eligibility. */
 export type EligibilityFacts = {
   readonly evacuations: EvacuationFacts;
   readonly backoffs: BackoffFacts;
-  /** All of them hold: the least allowance decides. */
+  /** The limits on the rate of sends; all of them apply, so the smallest allowance decides. */
   readonly paces: readonly SendPaceFacts[];
   /** Region of a failure domain; undefined where none is declared. */
   readonly regionOf: (failureDomain: string) => string | undefined;
 };
 
 /**
- * Home regions that restrict a request: one list for its route and one for its workspace, each only where
- * it declares some. A host has to be in a region of every list.
+ * Home regions that restrict a request: one list for its route and one for its workspace, if they declare any. The
+ * host's region has to be in every list.
  */
 export type HomeRegions = readonly (readonly string[])[];
 
-/** Whether the host may receive a request now, without using any allowance. */
+/** Returns whether the host may receive a request now, without using any allowance. */
 export function eligibilityOf(
   host: HostEntry,
   homeRegions: HomeRegions,
   facts: EligibilityFacts,
   now: number,
 ): Eligibility {
-  const verdict = unlimitedEligibility(host, homeRegions, facts, now);
+  const verdict = eligibilityIgnoringLimits(host, homeRegions, facts, now);
   if (verdict !== 'eligible') {
     return verdict;
   }
@@ -86,8 +89,8 @@
 }
 
 /**
- * Whether the host may receive a request now, asked when the host is claimed for it: where the answer is
- * `eligible`, it has used the allowances of a host that takes few.
+ * Returns whether the host may receive a request now, and claims the host for it: if the result is `eligible`, the
+ * allowances for a limited host have been used.
  */
 export function takeEligibility(
   host: HostEntry,
@@ -103,8 +106,8 @@
 }
 
 /**
- * Whether a request that has been claimed for the host may be written to a connection now: it may have waited for
- * one, and what is known of the host may have changed meanwhile.
+ * Returns whether a request for which the host was claimed may be written to a connection now. The check is repeated
+ * because the request may have waited for a connection, and the known state of the host may have changed meanwhile.
  */
 export function eligibilityAtWrite(
   host: HostEntry,
@@ -112,20 +115,20 @@
   facts: EligibilityFacts,
   now: number,
 ): Eligibility {
-  const verdict = unlimitedEligibility(host, homeRegions, facts, now);
+  const verdict = eligibilityIgnoringLimits(host, homeRegions, facts, now);
   if (verdict !== 'eligible') {
     return verdict;
   }
   return facts.paces.find(pace => !pace.write(host, now))?.verdict ?? 'eligible';
 }
 
-/** True for verdicts that pass with this entry host's next turn at the host. */
+/** True for verdicts that end with this entry host's next allowance for the host. */
 export function isPaced(verdict: string): verdict is PacedVerdict {
   return verdict === 'cold-limit' || verdict === 'rate-limit';
 }
 
-// All but the limits on the rate, which are asked last: they are used up by the question.
-function unlimitedEligibility(
+// Checks everything except the rate of sends, which comes last because that check uses up allowances.
+function eligibilityIgnoringLimits(
   host: HostEntry,
   homeRegions: HomeRegions,
   { evacuations, backoffs, regionOf }: EligibilityFacts,
@@ -140,13 +143,13 @@
   if (evacuations.isEvacuated(host.failureDomain)) {
     return 'evacuated';
   }
-  if (!isAtHome(regionOf(host.failureDomain), homeRegions)) {
+  if (!isInHomeRegions(regionOf(host.failureDomain), homeRegions)) {
     return 'outside-home-regions';
   }
   return backoffs.backoffLeftMs(host, now) > 0 ? 'backing-off' : 'eligible';
 }
 
-// A host whose region is not declared may only take requests without home regions.
-function isAtHome(region: string | undefined, homeRegions: HomeRegions): boolean {
-  return homeRegions.every(homes => region !== undefined && homes.includes(region));
+// A host whose region is not declared may receive only requests without home regions.
+function isInHomeRegions(region: string | undefined, homeRegions: HomeRegions): boolean {
+  return homeRegions.every(regions => region !== undefined && regions.includes(region));
 }
--- a/packages/entry/src/routing/limited-choice.test.ts
+++ b/packages/entry/src/routing/limited-choice.test.ts
@@ -1,4 +1,4 @@
-/** Choice among hosts of which some have named limits. */
+/** Choice of a target where some hosts have reported rate limits. */
 import { expect } from 'chai';
 
 import type { Service } from '../configuration/serving-configuration.js';
@@ -19,9 +19,9 @@
   homeRegions: [],
   exclude: new Set(),
 };
-const NAMES = Array.from({ length: 30 }, (_, index) => `h${index}`);
+const HOST_IDS = Array.from({ length: 30 }, (_, index) => `h${index}`);
 
-function chooserOf(options: Partial<ChooserOptions>, names = NAMES): TargetChooser {
+function chooserOf(options: Partial<ChooserOptions>, names = HOST_IDS): TargetChooser {
   const registry = new HostRegistry(
     (id, value) => readTestHost({ ...(value as HostEntry), id }),
     silentLog(),
@@ -39,14 +39,14 @@
   });
 }
 
-describe('hosts that have named limits', () => {
-  it('are chosen at the turn of this entry host, so that none is lost', () => {
+describe('choice among hosts with rate limits', () => {
+  it('prefers a host of whose limit this entry host owns a share, so that no allowance is lost', () => {
     const chooser = chooserOf({ ownsShare: ({ id }) => id === 'h7' });
     const chosen = Array.from({ length: 50 }, () => chooser.choose(QUERY)?.host.id);
     expect(chosen.filter(id => id === 'h7').length).to.be.at.least(45);
   });
 
-  it('are passed over at their turn while they have much more to do than others', () => {
+  it('does not choose such a host while its load is much higher than that of others', () => {
     const chooser = chooserOf({
       ownsShare: ({ id }) => id === 'h7',
       othersAt: id => (id === 'h7' ? 40 : 0),
@@ -55,16 +55,16 @@
     expect(chosen).to.not.include('h7');
   });
 
-  it('tell when the first of them has a place, where there are no others', () => {
+  it('returns when the first limited host accepts a request, only if no other host is eligible', () => {
     const placeInMs = ({ id }: HostEntry): number => (id === 'h0' ? 900 : 400);
     const options = { eligibility: (): Eligibility => 'rate-limit', placeInMs };
     expect(chooserOf(options, ['h0', 'h1']).placeInMs(QUERY)).to.equal(400);
-    const others = (host: HostEntry): Eligibility => (host.id === 'h0' ? 'eligible' : 'rate-limit');
-    const chooser = chooserOf({ ...options, eligibility: others }, ['h0', 'h1']);
+    const mixed = (host: HostEntry): Eligibility => (host.id === 'h0' ? 'eligible' : 'rate-limit');
+    const chooser = chooserOf({ ...options, eligibility: mixed }, ['h0', 'h1']);
     expect(chooser.placeInMs(QUERY)).to.equal(undefined);
   });
 
-  it('get no more than the least of several limits allows, and none is used up by another', () => {
+  it('applies the smallest of several allowances, and uses none if one of them is used up', () => {
     const host = { id: 'h', accepting: true, failureDomain: 'a' } as HostEntry;
     const used: string[] = [];
     const pace = (verdict: 'cold-limit' | 'rate-limit', room: boolean) => ({
@@ -79,12 +79,12 @@
       backoffs: { backoffLeftMs: () => 0 },
       regionOf: () => undefined,
     };
-    const both = { ...facts, paces: [pace('cold-limit', true), pace('rate-limit', false)] };
-    expect(eligibilityOf(host, [], both, 0)).to.equal('rate-limit');
-    expect(takeEligibility(host, [], both, 0)).to.equal('rate-limit');
+    const oneExhausted = { ...facts, paces: [pace('cold-limit', true), pace('rate-limit', false)] };
+    expect(eligibilityOf(host, [], oneExhausted, 0)).to.equal('rate-limit');
+    expect(takeEligibility(host, [], oneExhausted, 0)).to.equal('rate-limit');
     expect(used).to.deep.equal([]);
-    const free = { ...facts, paces: [pace('cold-limit', true), pace('rate-limit', true)] };
-    expect(takeEligibility(host, [], free, 0)).to.equal('eligible');
+    const bothAvailable = { ...facts, paces: [pace('cold-limit', true), pace('rate-limit', true)] };
+    expect(takeEligibility(host, [], bothAvailable, 0)).to.equal('eligible');
     expect(used).to.deep.equal(['cold-limit', 'rate-limit']);
   });
 });
--- a/packages/entry/src/routing/outlier-reports.test.ts
+++ b/packages/entry/src/routing/outlier-reports.test.ts
@@ -1,4 +1,4 @@
-/** The pattern: a group dies or turns slow, and many entry hosts each send to it seldom. */
+/** Outlier reports on a group that fails or becomes slow, while many entry hosts each send to it rarely. */
 import { expect } from 'chai';
 
 import type { OutlierReport } from './outlier-reports.js';
@@ -9,11 +9,11 @@
   return { ...target, reporter, reporterDomain, ageMs };
 }
 
-describe('reports of outliers', () => {
+describe('outlier reports', () => {
   let now = 0;
   let reports: OutlierReports;
 
-  const ejectedFor = (ownDomain: string, targetDomain = 'b'): boolean =>
+  const isEjectedFor = (ownDomain: string, targetDomain = 'b'): boolean =>
     reports.verdict('g1', targetDomain, ownDomain, now) !== undefined;
 
   beforeEach(() => {
@@ -21,15 +21,15 @@
     reports = new OutlierReports(() => now);
   });
 
-  it('eject a target once two entry hosts have met it', () => {
+  it('eject a target once two entry hosts have reported it', () => {
     expect(reports.note(report('e1'))).to.equal('taken');
     expect(reports.note(report('e1'))).to.equal('known');
-    expect(ejectedFor('a')).to.equal(false);
+    expect(isEjectedFor('a')).to.equal(false);
     expect(reports.note(report('e2'))).to.equal('ejected');
-    expect(ejectedFor('a')).to.equal(true);
+    expect(isEjectedFor('a')).to.equal(true);
   });
 
-  it('tell a target that can not be reached from one that is slow', () => {
+  it('distinguish an unreachable target from a slow one', () => {
     reports.note(report('e1'));
     reports.note(report('e2'));
     expect(reports.verdict('g1', 'b', 'a', now)).to.deep.equal({
@@ -42,59 +42,62 @@
     expect(reports.verdict('g1', 'b', 'a', now)?.isUnreachable).to.equal(true);
   });
 
-  it('of a failure domain that is cut off say nothing to the others', () => {
+  it('from another failure domain do not count, since that domain may be cut off', () => {
     reports.note(report('e1'));
     reports.note(report('e2'));
-    expect(ejectedFor('c')).to.equal(false);
-    expect(ejectedFor('b')).to.equal(false);
+    expect(isEjectedFor('c')).to.equal(false);
+    expect(isEjectedFor('b')).to.equal(false);
   });
 
-  it('of the failure domain of the target count everywhere', () => {
+  it('from the failure domain of the target count everywhere', () => {
     reports.note(report('e1', 'b'));
     reports.note(report('e2', 'b'));
-    expect(ejectedFor('c')).to.equal(true);
+    expect(isEjectedFor('c')).to.equal(true);
   });
 
-  it('lapse, and last longer each time that the target is met again', () => {
-    const ejectedMs = (): number => {
-      const from = now;
+  it('expire, and eject for longer each time the target is reported again', () => {
+    const measureEjectionMs = (): number => {
+      const startedAt = now;
       reports.note(report('e1'));
       reports.note(report('e2'));
-      while (ejectedFor('a')) {
+      while (isEjectedFor('a')) {
         now += 100;
       }
       now += 200;
-      return now - from - 200;
+      return now - startedAt - 200;
     };
-    const first = ejectedMs();
-    expect(first).to.equal(1_500);
-    expect(ejectedMs()).to.equal(2 * first);
-    expect(ejectedMs()).to.equal(4 * first);
-    expect(ejectedMs()).to.equal(4 * first);
+    const shortest = measureEjectionMs();
+    expect(shortest).to.equal(1_500);
+    expect(measureEjectionMs()).to.equal(2 * shortest);
+    expect(measureEjectionMs()).to.equal(4 * shortest);
+    expect(measureEjectionMs()).to.equal(4 * shortest);
     now += 20_000;
     reports.since(0);
-    expect(ejectedMs()).to.equal(first);
+    expect(measureEjectionMs()).to.equal(shortest);
   });
 
-  it('are passed on once to whoever names the last one it has heard', () => {
+  it('are returned only after the sequence number that a peer has received last', () => {
     reports.note(report('e1'));
     const { sequence } = reports;
     expect(reports.since(sequence)).to.deep.equal([]);
     reports.note(report('e2'));
     expect(reports.since(sequence).map(({ reporter }) => reporter)).to.deep.equal(['e2']);
-    expect(reports.since(sequence + 100), 'of an earlier start').to.have.length(2);
+    expect(
+      reports.since(sequence + 100),
+      'a sequence number of an earlier incarnation',
+    ).to.have.length(2);
   });
 
-  it('pass on what is needed, however many have met the target, and keep their age', () => {
+  it('are passed on only as far as an ejection needs them, with their age, however many reporters there are', () => {
     for (let host = 0; host < 50; host++) {
       reports.note(report(`e${host}`, host < 25 ? 'a' : 'b'));
     }
     now += 1_000;
-    const passed = reports.since(0);
-    expect(passed).to.have.length(4);
-    const follower = new OutlierReports(() => now);
-    passed.forEach(one => follower.note(one));
-    expect(follower.verdict('g1', 'b', 'a', now)).not.to.equal(undefined);
-    expect(follower.verdict('g1', 'b', 'a', now + 600)).to.equal(undefined);
+    const passedOn = reports.since(0);
+    expect(passedOn).to.have.length(4);
+    const peer = new OutlierReports(() => now);
+    passedOn.forEach(passedReport => peer.note(passedReport));
+    expect(peer.verdict('g1', 'b', 'a', now)).not.to.equal(undefined);
+    expect(peer.verdict('g1', 'b', 'a', now + 600)).to.equal(undefined);
   });
 });
--- a/packages/entry/src/routing/outlier-reports.ts
+++ b/packages/entry/src/routing/outlier-reports.ts
@@ -1,105 +1,115 @@
 /**
- * What entry hosts tell each other of groups that stall or lag behind, so that one group is left by
- * all of them once two have met it. Pure but for what it remembers.
+ * Outlier ejection across entry hosts: each reports to its peers which targets stall, cannot be reached or are slow,
+ * so that all of them avoid a target that two have observed as an outlier. Keeps state, but does no input or output.
  *
- * With many entry hosts each meets a group only every few seconds. When each has to find out by
- * itself that a group is dead, every one of them loses a request to it: at 89 entry hosts, 50 to 60
- * requests on each dead head and over 100 on each slow group (played days of the users).
+ * With many entry hosts, each of them sends to a given group only every few seconds. If each had to detect a dead
+ * group by itself, every one of them would lose a request to it: in simulated days of user traffic with 89 entry
+ * hosts, 50 to 60 requests were lost at each dead head and over 100 at each slow group.
  */
 import { monotonicMs } from '../server/time.js';
 
-/** One entry host has met a target that stalls, can not be reached, or is far slower than others. */
+/** An entry host's observation that a target stalls, cannot be reached, or is far slower than others. */
 export type OutlierReport = {
-  /** Name of the group; a group that is formed anew has another one. */
+  /** Name of the replica group; each formation gives a group a new name. */
   readonly target: string;
-  /** Id of its head. */
+  /** Id of the group's head. */
   readonly targetHost: string;
+  /** Failure domain of the head. */
   readonly targetDomain: string;
-  /** No connection could be made: where several are, their whole failure domain may be cut off. */
+  /** True if no connection could be made; if this holds for several targets, their failure domain may be cut off. */
   readonly isUnreachable: boolean;
-  /** Name of the entry host. */
+  /** Name of the reporting entry host. */
   readonly reporter: string;
+  /** Failure domain of the reporting entry host. */
   readonly reporterDomain: string;
   /** Age of the observation, in milliseconds. */
   readonly ageMs: number;
 };
 
-/** Reporters that are believed; a single one may itself have been paused or cut off. */
-const LEAST_REPORTERS = 2;
+/** Number of reporters from which a target is ejected; a single one may itself have been paused or cut off. */
+const MIN_REPORTERS = 2;
 /**
- * Time for which a target is left alone after the last report, in milliseconds. Dead heads are listed
- * for 3.6 s, so that each is tried again twice, by a few requests, before its entry goes.
+ * Shortest time for which a target stays ejected after the last report, in milliseconds. The entry of a dead head is
+ * removed after 3.6 s, so that a few requests try the head again twice before that.
  */
-const EJECTION_MS = 1_500;
-/** Longest time, reached by doubling while a target is reported again soon after it was tried. */
-const MOST_EJECTION_MS = 6_000;
-/** A target that was well for this long starts from the shortest time again, in milliseconds. */
+const MIN_EJECTION_MS = 1_500;
+/** Longest ejection, in ms; the time doubles each time a target is reported again soon after its ejection ended. */
+const MAX_EJECTION_MS = 6_000;
+/** Time without reports after an ejection, in ms, from which the next ejection has the shortest time again. */
 const RELAPSE_MS = 3_000;
 
-type Reporter = { readonly report: OutlierReport; readonly at: number; readonly sequence: number };
+/** The latest report of one entry host on a target, when it was observed (monotonic ms), and its sequence number. */
+type Observation = {
+  readonly report: OutlierReport;
+  readonly at: number;
+  readonly sequence: number;
+};
 
-/** What the reports of a target come to. */
+/** Result of the reports on a target. */
 export type OutlierVerdict = {
-  /** Entry hosts that have met it lately. */
+  /** Number of entry hosts that have lately observed the target as an outlier. */
   readonly reporters: number;
-  /** They could not connect; else it stalls or is slow, as groups are that have too much to do. */
+  /** True if at least two of them could not connect; otherwise the target stalls or is slow, as if overloaded. */
   readonly isUnreachable: boolean;
 };
 
-/** What a report has changed: nothing, or what is known, or also whether its target is left alone. */
+/** Effect of a report: `known`: none, as it is old; `taken`: stored; `ejected`: stored, and the target ejected. */
 export type ReportOutcome = 'known' | 'taken' | 'ejected';
 
+/** State of one target that has been reported. */
 type Outlier = {
-  readonly reporters: Map<string, Reporter>;
+  /** The latest observation of each reporter, by its name. */
+  readonly reporters: Map<string, Observation>;
+  /** Time for which an observation ejects the target, in milliseconds. */
   ejectionMs: number;
-  /** When it was last met (monotonic milliseconds). */
+  /** Time of the latest observation (monotonic milliseconds). */
   lastAt: number;
 };
 
-/** The reports of all entry hosts, as far as they are known here. */
+/** The outlier reports of all entry hosts that this one has received or made. */
 export class OutlierReports {
   readonly #outliers = new Map<string, Outlier>();
   readonly #now: () => number;
   #sequence = 0;
 
-  /** `now` in monotonic milliseconds; for tests. */
+  /** `now` returns the current time in monotonic milliseconds; tests replace it. */
   constructor(now: () => number = monotonicMs) {
     this.#now = now;
   }
 
-  /** Number of the newest report; rises with each that is taken. */
+  /** Sequence number of the newest report; it rises by one with each stored report. */
   get sequence(): number {
     return this.#sequence;
   }
 
-  /** Takes a report; those with the outcome `ejected` are news that others should hear at once. */
+  /** Stores a report; one with the outcome `ejected` should be sent to the peers at once. */
   note(report: OutlierReport): ReportOutcome {
     const { target, reporter, reporterDomain, ageMs } = report;
     const now = this.#now();
     const at = now - ageMs;
-    if (ageMs > MOST_EJECTION_MS) {
+    if (ageMs > MAX_EJECTION_MS) {
       return 'known';
     }
-    const outlier = this.#of(target);
+    const outlier = this.#outlierOf(target);
     const known = outlier.reporters.get(reporter);
     if (known !== undefined && known.at >= at) {
       return 'known';
     }
-    const before = freshIn(outlier, reporterDomain, now).length;
+    const before = currentReportersIn(outlier, reporterDomain, now).length;
     if (now - outlier.lastAt >= outlier.ejectionMs) {
-      lengthen(outlier, now);
+      updateEjectionMs(outlier, now);
     }
     this.#sequence += 1;
     outlier.reporters.set(reporter, { report, at, sequence: this.#sequence });
     outlier.lastAt = Math.max(outlier.lastAt, at);
-    const after = freshIn(outlier, reporterDomain, now).length;
-    return before < LEAST_REPORTERS && after >= LEAST_REPORTERS ? 'ejected' : 'taken';
+    const after = currentReportersIn(outlier, reporterDomain, now).length;
+    return before < MIN_REPORTERS && after >= MIN_REPORTERS ? 'ejected' : 'taken';
   }
 
   /**
-   * What is reported of a target to an entry host in `ownDomain`; undefined while nothing is that two
-   * hosts agree on. Only reports from there or from the target's own failure domain count: who is cut
-   * off from a domain says nothing about it to others.
+   * Returns the verdict on a target for an entry host in `ownDomain`; undefined if fewer than two entry hosts agree.
+   * Only reports from `ownDomain` or from the target's failure domain count: entry hosts in another failure domain may
+   * be cut off from the target while this one is not.
    */
   verdict(
     target: string,
@@ -112,75 +122,83 @@
       return undefined;
     }
     const domain = [ownDomain, targetDomain].find(
-      candidate => freshIn(outlier, candidate, now).length >= LEAST_REPORTERS,
+      candidate => currentReportersIn(outlier, candidate, now).length >= MIN_REPORTERS,
     );
     if (domain === undefined) {
       return undefined;
     }
-    const reporters = freshIn(outlier, domain, now);
+    const reporters = currentReportersIn(outlier, domain, now);
     const unconnected = reporters.filter(({ report }) => report.isUnreachable).length;
-    return { reporters: reporters.length, isUnreachable: unconnected >= LEAST_REPORTERS };
+    return { reporters: reporters.length, isUnreachable: unconnected >= MIN_REPORTERS };
   }
 
   /**
-   * Reports after a sequence number that hosts which follow this one should know, as few for each
-   * target as are needed. A number that is not reached yet is of an earlier start of this process.
+   * Returns the reports after a sequence number, for peers that poll this entry host; only as many for each target as
+   * an ejection needs. A number above the current one comes from an earlier incarnation of this process: then all
+   * current reports count as new.
    */
   since(sequence: number): readonly OutlierReport[] {
     const now = this.#now();
     const after = sequence > this.#sequence ? 0 : sequence;
     const reports: OutlierReport[] = [];
     for (const [target, outlier] of this.#outliers) {
-      if (forgetOld(outlier, now)) {
+      if (dropExpiredReporters(outlier, now)) {
         this.#outliers.delete(target);
         continue;
       }
-      reports.push(...newestByDomain(outlier, after, now));
+      reports.push(...newestReportsByDomain(outlier, after, now));
     }
     return reports;
   }
 
-  #of(target: string): Outlier {
+  #outlierOf(target: string): Outlier {
     let outlier = this.#outliers.get(target);
     if (outlier === undefined) {
-      outlier = { reporters: new Map(), ejectionMs: EJECTION_MS, lastAt: -Infinity };
+      outlier = { reporters: new Map(), ejectionMs: MIN_EJECTION_MS, lastAt: -Infinity };
       this.#outliers.set(target, outlier);
     }
     return outlier;
   }
 }
 
-// It is met again after it was left alone; twice as long, if that was only a moment ago.
-function lengthen(outlier: Outlier, now: number): void {
-  const again = now - (outlier.lastAt + outlier.ejectionMs) < RELAPSE_MS;
-  outlier.ejectionMs = again ? Math.min(2 * outlier.ejectionMs, MOST_EJECTION_MS) : EJECTION_MS;
+// Sets the next ejection time of a target that is reported again after its ejection: doubled if that ended recently.
+function updateEjectionMs(outlier: Outlier, now: number): void {
+  const isRelapse = now - (outlier.lastAt + outlier.ejectionMs) < RELAPSE_MS;
+  outlier.ejectionMs = isRelapse
+    ? Math.min(2 * outlier.ejectionMs, MAX_EJECTION_MS)
+    : MIN_EJECTION_MS;
 }
 
-function freshIn(outlier: Outlier, domain: string, now: number): readonly Reporter[] {
+function currentReportersIn(outlier: Outlier, domain: string, now: number): readonly Observation[] {
   return [...outlier.reporters.values()].filter(
     ({ report, at }) => report.reporterDomain === domain && now - at < outlier.ejectionMs,
   );
 }
 
-// True when nothing is left of the outlier that matters.
-function forgetOld({ reporters }: Outlier, now: number): boolean {
+// Drops old observations; returns true if none is left.
+function dropExpiredReporters({ reporters }: Outlier, now: number): boolean {
   for (const [name, reporter] of reporters) {
-    if (now - reporter.at > MOST_EJECTION_MS + RELAPSE_MS) {
+    if (now - reporter.at > MAX_EJECTION_MS + RELAPSE_MS) {
       reporters.delete(name);
     }
   }
   return reporters.size === 0;
 }
 
-function newestByDomain(outlier: Outlier, after: number, now: number): readonly OutlierReport[] {
+// Returns the newest reports of each reporter domain that were stored after the sequence number `after`.
+function newestReportsByDomain(
+  outlier: Outlier,
+  after: number,
+  now: number,
+): readonly OutlierReport[] {
   const newest = [...outlier.reporters.values()]
     .filter(reporter => now - reporter.at < outlier.ejectionMs)
     .sort((a, b) => b.at - a.at);
-  const taken = new Map<string, number>();
+  const countByDomain = new Map<string, number>();
   return newest.flatMap(({ report, at, sequence }) => {
-    const count = taken.get(report.reporterDomain) ?? 0;
-    taken.set(report.reporterDomain, count + 1);
-    const isWanted = count < LEAST_REPORTERS && sequence > after;
-    return isWanted ? [{ ...report, ageMs: now - at }] : [];
+    const count = countByDomain.get(report.reporterDomain) ?? 0;
+    countByDomain.set(report.reporterDomain, count + 1);
+    const isIncluded = count < MIN_REPORTERS && sequence > after;
+    return isIncluded ? [{ ...report, ageMs: now - at }] : [];
   });
 }
--- a/packages/entry/src/routing/retry-budget.ts
+++ b/packages/entry/src/routing/retry-budget.ts
@@ -1,22 +1,23 @@
 /**
- * Bounds how often requests of a service are sent a second time.
+ * Limits the retries and hedged attempts for the requests of a service.
  *
- * The bound holds for all entry hosts together. Each spends in proportion to the requests that it
- * has itself seen, and a fixed part of the slack, so that no messages are needed.
+ * The limit holds for all entry hosts together. Each of them may use a number in proportion to the requests that it
+ * has received itself, and a fixed part of the slack, so that no messages between entry hosts are needed.
  */
 import type { EntryBounds } from '../server/entry-settings.js';
 import { monotonicMs } from '../server/time.js';
 
-/** Bounds over all entry hosts. */
+/** Bounds on retries and hedged attempts, over all entry hosts together. */
 export type RetryBounds = {
-  /** Repeats per request. */
+  /** Retries and hedged attempts per request. */
   readonly ratio: number;
-  /** Repeats beyond the ratio in any window. */
+  /** Retries and hedged attempts beyond the ratio, in any window. */
   readonly slack: number;
+  /** Length of the sliding window, in milliseconds. */
   readonly windowMs: number;
 };
 
-/** The bounds that settings give, read at each use since settings are reloaded; the window stays. */
+/** Returns bounds that read the settings at each use, since settings may be reloaded; the window is read only once. */
 export function liveRetryBounds(bounds: () => EntryBounds): RetryBounds {
   return {
     get ratio() {
@@ -29,65 +30,66 @@
   };
 }
 
-/** Entry hosts among which the slack is divided while their number is not known. */
-const UNKNOWN_HOSTS = 64;
-/** Part of the slack that is spent: hosts that start anew have forgotten what they spent. */
+/** Number of entry hosts among which the slack is divided while their actual number is not known. */
+const ASSUMED_HOSTS = 64;
+/** Usable part of the slack (0 to 1); the rest is a reserve, since a restarted entry host has lost its counts. */
 const SLACK_PART = 0.6;
 /**
- * Part of the allowance that second attempts beside a running one may spend, 0 to 1. The first may still
- * go on by itself, while a request that was lost or rejected ends here without a repeat: on a day with
- * many slow hosts 140 of 180 failures were of requests that had no repeat left.
+ * Part of the allowance that hedged attempts may use, 0 to 1. The attempt that a hedged one runs beside may still
+ * succeed, while a lost or rejected request fails without a retry: on a simulated day with many slow hosts, 140 of 180
+ * failures were requests for which no retry was left.
  */
-const BESIDE_PART = 0.5;
-/** Part of the ratio that is spent, so that windows that slide never exceed it. */
+const HEDGED_PART = 0.5;
+/** Usable part of the ratio (0 to 1), so that no position of the sliding window exceeds the full ratio. */
 const RATIO_PART = 0.8;
+/** Number of buckets that a sliding window is divided into. */
 const BUCKETS = 10;
 
-/** What a repeat is for: a request that was lost or rejected, or one that still runs. */
+/** Reason for a further attempt: `lost`: a retry after a lost or rejected attempt; `beside`: a hedged attempt. */
 export type RepeatReason = 'lost' | 'beside';
 
-/** The budget of one service at this host. */
+/** The budget of one service at this entry host. */
 export class RetryBudget {
   readonly #bounds: RetryBounds;
   readonly #hosts: () => number;
-  readonly #requests: SlidingCount;
-  readonly #repeats: SlidingCount;
+  readonly #requests: SlidingWindowCounter;
+  readonly #retries: SlidingWindowCounter;
 
-  /** `hosts` gives the number of entry hosts; 0 while it is not known. */
+  /** `hosts` returns the number of entry hosts; 0 while it is not known. */
   constructor(bounds: RetryBounds, hosts: () => number) {
     this.#bounds = bounds;
     this.#hosts = hosts;
-    this.#requests = new SlidingCount(bounds.windowMs);
-    this.#repeats = new SlidingCount(bounds.windowMs);
+    this.#requests = new SlidingWindowCounter(bounds.windowMs);
+    this.#retries = new SlidingWindowCounter(bounds.windowMs);
   }
 
-  /** Counts a request of a caller. */
+  /** Counts a request of a caller, which raises the allowance. */
   noteRequest(): void {
     this.#requests.add(monotonicMs());
   }
 
-  /** True while a repeat would be allowed. */
+  /** True if a further attempt for this reason is allowed now. */
   hasRoom(reason: RepeatReason): boolean {
     const now = monotonicMs();
     const { ratio, slack } = this.#bounds;
-    const hosts = this.#hosts() || UNKNOWN_HOSTS;
+    const hosts = this.#hosts() || ASSUMED_HOSTS;
     const allowed = ratio * RATIO_PART * this.#requests.count(now) + (slack * SLACK_PART) / hosts;
-    const part = reason === 'beside' ? BESIDE_PART : 1;
-    return this.#repeats.count(now) + 1 <= allowed * part;
+    const part = reason === 'beside' ? HEDGED_PART : 1;
+    return this.#retries.count(now) + 1 <= allowed * part;
   }
 
-  /** Takes the allowance for one repeat; false when there is none. */
+  /** Uses the allowance for one further attempt; returns false if there is none. */
   take(reason: RepeatReason): boolean {
     if (!this.hasRoom(reason)) {
       return false;
     }
-    this.#repeats.add(monotonicMs());
+    this.#retries.add(monotonicMs());
     return true;
   }
 }
 
-/** Counts events in a sliding window, by buckets. */
-class SlidingCount {
+/** Counts events in a sliding window that is divided into buckets; `now` in monotonic milliseconds. */
+class SlidingWindowCounter {
   readonly #bucketMs: number;
   readonly #buckets = new Map<number, number>();
 
--- a/packages/entry/src/routing/routing.test.ts
+++ b/packages/entry/src/routing/routing.test.ts
@@ -33,7 +33,7 @@
     limits: { maxHeaderBytes: 1, maxBodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 },
   };
 
-  it('takes the longest prefix of the host, without port, query or case', () => {
+  it('matches the longest path prefix of the host, ignoring port, query and case', () => {
     const table = new RouteTable(configuration);
     expect(table.routeOf('models.EXAMPLE:80', '/a/b/c?x=/a/')?.name).to.equal('long');
     expect(table.routeOf('models.example', '/a/c')?.name).to.equal('short');
@@ -49,7 +49,7 @@
 });
 
 describe('retry budget', () => {
-  it('keeps half for requests that were lost, however many others get a second attempt', () => {
+  it('reserves half for lost requests, however many hedged attempts there are', () => {
     const budget = new RetryBudget({ ratio: 0, slack: 200, windowMs: 10_000 }, () => 10);
     const taken = (reason: 'lost' | 'beside'): number =>
       Array.from({ length: 50 }, () => budget.take(reason)).filter(Boolean).length;
@@ -57,7 +57,7 @@
     expect(taken('lost')).to.equal(6);
   });
 
-  it('never spends more than its part of the bound', () => {
+  it('never uses more than its part of the bound', () => {
     const budget = new RetryBudget({ ratio: 0.2, slack: 32, windowMs: 10_000 }, () => 16);
     let taken = 0;
     for (let request = 0; request < 100; request++) {
@@ -69,10 +69,10 @@
   });
 });
 
-describe('retry budgets of many hosts', () => {
+describe('retry budgets of many entry hosts', () => {
   const bounds = { ratio: 0.2, slack: 258, windowMs: 10_000 };
 
-  it('stay together within the slack, however many hosts there are', () => {
+  it('together stay within the slack for any number of entry hosts', () => {
     for (const hosts of [8, 58, 330]) {
       const budgets = Array.from({ length: hosts }, () => new RetryBudget(bounds, () => hosts));
       let taken = 0;
@@ -83,7 +83,7 @@
     }
   });
 
-  it('stay within it while no host knows how many there are', () => {
+  it('together stay within the slack while the number of entry hosts is not known', () => {
     const budgets = Array.from({ length: 58 }, () => new RetryBudget(bounds, () => 0));
     let taken = 0;
     for (let repeat = 0; repeat < 300; repeat++) {
@@ -94,7 +94,7 @@
 });
 
 describe('overload guard', () => {
-  it('refuses nobody while the objective is near, and more the later hosts are', () => {
+  it('refuses no request while the objective is met, and more requests the later hosts answer', () => {
     expect(refusedPart(100, 100)).to.equal(0);
     expect(refusedPart(300, 100)).to.be.greaterThan(0);
     expect(refusedPart(5_000, 100)).to.be.lessThan(1);
@@ -108,7 +108,7 @@
     { name: 'n', workShare: 0.33 },
   ];
 
-  it('starts from the declared share and follows what comes', () => {
+  it('starts from the declared share and follows the actual requests', () => {
     const meter = new DemandMeter();
     expect(meter.shared('lm', models)[0]?.workShare).to.equal(0.67);
     for (let request = 0; request < 400; request++) {
@@ -119,22 +119,22 @@
     expect(second?.workShare).to.be.within(0.68, 0.8);
   });
 
-  it('knows of the first request by what other entry hosts tell', () => {
-    let told = 0;
-    const meter = new DemandMeter(key => (key === 'lm/' ? told : 0));
+  it('counts requests that only peers have reported', () => {
+    let reported = 0;
+    const meter = new DemandMeter(key => (key === 'lm/' ? reported : 0));
     expect(meter.hasRequests('lm')).to.equal(false);
-    told = 1;
+    reported = 1;
     expect(meter.hasRequests('lm')).to.equal(true);
     expect(meter.hasRequests('other')).to.equal(false);
   });
 
-  it('believes few own requests less than many of others', () => {
-    const others = new DemandMeter();
+  it('weights a few requests of its own less than many of peers', () => {
+    const peer = new DemandMeter();
     for (let request = 0; request < 1_000; request++) {
-      others.note('lm', request % 2 === 0 ? 'm' : 'n', '100,50');
+      peer.note('lm', request % 2 === 0 ? 'm' : 'n', '100,50');
     }
-    const told = new Map(others.counts());
-    const meter = new DemandMeter(key => told.get(key) ?? 0);
+    const reportedRequests = new Map(peer.counts());
+    const meter = new DemandMeter(key => reportedRequests.get(key) ?? 0);
     for (let request = 0; request < 8; request++) {
       meter.note('lm', 'n', '100,50');
     }
--- a/packages/entry/src/routing/send-eligibility.ts
+++ b/packages/entry/src/routing/send-eligibility.ts
@@ -1,4 +1,4 @@
-/** `eligibility.ts` applied to what this entry host knows, with a counter of sends that were withheld. */
+/** Applies `eligibility.ts` to the facts known to this entry host, and counts the sends that were withheld. */
 import type { HostEntry } from '../hosts/host-entry.js';
 import type { Counters } from '../server/metrics.js';
 import type { Eligibility, EligibilityFacts, HomeRegions } from './eligibility.js';
@@ -14,14 +14,14 @@
     this.#counters = counters;
   }
 
-  /** Whether a target may be chosen; `now` in monotonic milliseconds. */
+  /** Returns whether a host may be chosen as a target; `now` in monotonic milliseconds. */
   of(host: HostEntry, homeRegions: HomeRegions, now: number): Eligibility {
     return eligibilityOf(host, homeRegions, this.#facts, now);
   }
 
   /**
-   * Claims the host for a request, which must not be sent unless the answer is `eligible`. If it is not written after
-   * all, what was claimed is to be given back.
+   * Claims the host for a request, which must not be sent unless the result is `eligible`. If the request is not
+   * written after all, call {@link giveBack}.
    */
   take(host: HostEntry, homeRegions: HomeRegions, now: number): Eligibility {
     const verdict = takeEligibility(host, homeRegions, this.#facts, now);
@@ -30,8 +30,8 @@
   }
 
   /**
-   * Asked when a request that `take` allowed is about to be written: it may have waited for a connection, and the
-   * host may have asked for fewer or no requests, or begun to leave, meanwhile. False: it must not be written.
+   * Checks a request that `take` allowed again, just before it is written; if false, it must not be written. It may
+   * have waited for a connection, and the host may have reported a rate limit, a backoff or its drain meanwhile.
    */
   stillMay(host: HostEntry, homeRegions: HomeRegions, now: number): boolean {
     const verdict = eligibilityAtWrite(host, homeRegions, this.#facts, now);
@@ -39,7 +39,7 @@
     return verdict === 'eligible';
   }
 
-  /** A request for which the host was claimed will not be written. */
+  /** Returns the allowances of a claimed request that will not be written. */
   giveBack(host: HostEntry): void {
     this.#facts.paces.forEach(pace => {
       pace.giveBack(host);
--- a/packages/entry/src/routing/send-rules.ts
+++ b/packages/entry/src/routing/send-rules.ts
@@ -1,4 +1,4 @@
-/** Wires together what decides where this entry host may send: evacuations, slow start, limits of hosts and regions. */
+/** Wires the parts that decide where this entry host may send: evacuations, slow start, host limits and regions. */
 import type { SlowStart } from '../configuration/serving-configuration.js';
 import { EvacuatedDomains } from '../evacuation/evacuated-domains.js';
 import type { HostIncarnation } from '../hosts/host-entry.js';
@@ -16,31 +16,32 @@
 import { SendEligibility } from './send-eligibility.js';
 import type { SendChoiceFacts } from './target-chooser.js';
 
-/** Options of the rules. */
+/** Options of the send rules. */
 export type SendRulesOptions = {
-  /** Called at each use of a bound, since settings are reloaded; name and regions are read once. */
+  /** Called at each use of a bound, since settings may be reloaded; name and regions are read only once. */
   readonly settings: () => EntrySettings;
-  /** The registered entry hosts as far as they are known; undefined where this one has no peers. */
+  /** Returns the registered entry hosts, undefined while they are not known; without peers there is no function. */
   readonly members: (() => MemberView | undefined) | undefined;
+  /** Slow start settings of a service; undefined if it has none. */
   readonly slowStartOf: (service: string) => SlowStart | undefined;
-  /** Called when a host says for the first time that it is shutting down. */
+  /** Called when an incarnation of a host first reports that it is shutting down. */
   readonly leaves: (host: HostIncarnation) => void;
-  /** Called when other entry hosts should be told that a host is shutting down. */
+  /** Called when a host's shutdown should be reported to the peers. */
   readonly leavingReported: () => void;
-  /** Called when there is something to tell other entry hosts of the limits that hosts have named. */
+  /** Called when there are new rate limits of hosts to report to the peers. */
   readonly limitsReported: () => void;
   readonly log: Log;
   readonly metrics: Metrics;
 };
 
-/** Evacuations, slow start, limits of hosts, and eligibility of one entry host. */
+/** Evacuations, slow start, backoffs, rate limits and eligibility checks of one entry host. */
 export class SendRules {
   readonly evacuated: EvacuatedDomains;
   readonly slowStart: SlowStartLimits;
   readonly eligibility: SendEligibility;
   readonly notices: HostNotices;
   readonly namedLimits: NamedLimits;
-  /** What the choice of a target asks. */
+  /** The facts that the target chooser uses. */
   readonly choice: SendChoiceFacts;
 
   constructor(options: SendRulesOptions) {
@@ -90,7 +91,7 @@
     };
     this.eligibility = new SendEligibility(facts, counters);
     this.choice = {
-      eligibility: (host, homes, now) => this.eligibility.of(host, homes, now),
+      eligibility: (host, homeRegions, now) => this.eligibility.of(host, homeRegions, now),
       backoffLeftMs: (host, now) => this.notices.backoffLeftMs(host, now),
       paceOf: (host, now) => combinedPace(paces, host, now),
       ownsShare: (host, now) => limitedSends.paceOf(host, now) !== undefined,
--- a/packages/entry/src/routing/target-chooser.test.ts
+++ b/packages/entry/src/routing/target-chooser.test.ts
@@ -17,7 +17,7 @@
   slowStart: undefined,
   engine: undefined,
 };
-const NOBODY: ReadonlySet<string> = new Set();
+const NO_HOSTS: ReadonlySet<string> = new Set();
 
 function registryOf(
   names: readonly string[],
@@ -40,10 +40,10 @@
 describe('choice of a target', () => {
   const names = Array.from({ length: 10 }, (_, index) => `h${index}`);
 
-  it('spreads the requests of many hosts that have all heard of the same loads', () => {
+  it('spreads the requests of many entry hosts that know the same loads', () => {
     const registry = registryOf(names);
     const loads = new Map(names.map((name, index) => [name, index]));
-    const taken = new Map<string, number>();
+    const chosenHosts = new Map<string, number>();
     for (let host = 0; host < 200; host++) {
       const chooser = new TargetChooser(registry, new HostActivities(), {
         failureDomain: 'a',
@@ -54,16 +54,18 @@
         service: SERVICE,
         model: undefined,
         homeRegions: [],
-        exclude: NOBODY,
+        exclude: NO_HOSTS,
       });
       const id = target?.host.id ?? '';
-      taken.set(id, (taken.get(id) ?? 0) + 1);
+      chosenHosts.set(id, (chosenHosts.get(id) ?? 0) + 1);
     }
-    expect(Math.max(...taken.values()), 'at the least loaded').to.be.lessThan(100);
-    expect(taken.get('h9') ?? 0, 'at the most loaded').to.be.lessThan(10);
+    expect(Math.max(...chosenHosts.values()), 'requests at the least loaded host').to.be.lessThan(
+      100,
+    );
+    expect(chosenHosts.get('h9') ?? 0, 'requests at the most loaded host').to.be.lessThan(10);
   });
 
-  it('takes an avoided host only when there is no other', () => {
+  it('chooses an avoided host only if there is no other', () => {
     const activities = new HostActivities();
     const chooser = new TargetChooser(registryOf(['good', 'bad']), activities, {
       failureDomain: 'a',
@@ -73,12 +75,12 @@
     activities.noteFailure('bad');
     const query = { service: SERVICE, model: undefined, homeRegions: [] };
     for (let request = 0; request < 20; request++) {
-      expect(chooser.choose({ ...query, exclude: NOBODY })?.host.id).to.equal('good');
+      expect(chooser.choose({ ...query, exclude: NO_HOSTS })?.host.id).to.equal('good');
     }
     expect(chooser.choose({ ...query, exclude: new Set(['good']) })?.host.id).to.equal('bad');
   });
 
-  it('leaves the rest of a failure domain alone once several of its hosts are out of reach', () => {
+  it('avoids a failure domain once several of its hosts are unreachable', () => {
     const activities = new HostActivities();
     const registry = registryOf(names, name => (Number(name[1]) < 8 ? 'b' : 'a'));
     const chooser = new TargetChooser(registry, activities, {
@@ -87,18 +89,18 @@
       othersAt: id => (registry.get(id)?.failureDomain === 'a' ? 50 : 0),
     });
     const hostOf = (name: string): HostEntry => registry.get(name) as HostEntry;
-    const taken = (): Set<string | undefined> => {
-      const query = { service: SERVICE, model: undefined, homeRegions: [], exclude: NOBODY };
+    const chosenHosts = (): Set<string | undefined> => {
+      const query = { service: SERVICE, model: undefined, homeRegions: [], exclude: NO_HOSTS };
       const targets = Array.from({ length: 40 }, () => chooser.choose(query));
       return new Set(targets.map(target => target?.host.failureDomain));
     };
     activities.noteUnreachable(hostOf('h0'));
     activities.noteUnreachable(hostOf('h1'));
-    expect(taken()).to.include('b');
+    expect(chosenHosts()).to.include('b');
     activities.noteUnreachable(hostOf('h2'));
-    expect([...taken()]).to.deep.equal(['a']);
+    expect([...chosenHosts()]).to.deep.equal(['a']);
     activities.noteProgress(hostOf('h3'));
-    expect(taken()).to.include('b');
+    expect(chosenHosts()).to.include('b');
   });
 
   function chooserWith(verdicts: ReadonlyMap<string, OutlierVerdict>): () => Set<string> {
@@ -109,37 +111,37 @@
       outlier: ({ host }) => verdicts.get(host.id),
     });
     return () => {
-      const query = { service: SERVICE, model: undefined, homeRegions: [], exclude: NOBODY };
+      const query = { service: SERVICE, model: undefined, homeRegions: [], exclude: NO_HOSTS };
       const targets = Array.from({ length: 200 }, () => chooser.choose(query));
       return new Set(targets.map(target => target?.host.id ?? ''));
     };
   }
 
-  it('leaves the slowest alone that others report, but keeps most when many are slow', () => {
+  it('excludes the slowest reported targets, but keeps most if many are slow', () => {
     const verdicts = new Map<string, OutlierVerdict>();
-    const taken = chooserWith(verdicts);
+    const chosenHosts = chooserWith(verdicts);
     verdicts.set('h0', { reporters: 2, isUnreachable: false });
     verdicts.set('h1', { reporters: 9, isUnreachable: false });
-    expect(taken().has('h0')).to.equal(false);
-    expect(taken().has('h1')).to.equal(false);
+    expect(chosenHosts().has('h0')).to.equal(false);
+    expect(chosenHosts().has('h1')).to.equal(false);
     for (let index = 2; index < 9; index++) {
       verdicts.set(`h${index}`, { reporters: index, isUnreachable: false });
     }
-    expect([...taken()].sort()).to.deep.equal(['h0', 'h2', 'h3', 'h4', 'h5', 'h6', 'h7']);
+    expect([...chosenHosts()].sort()).to.deep.equal(['h0', 'h2', 'h3', 'h4', 'h5', 'h6', 'h7']);
   });
 
-  it('leaves all alone that nobody can connect to, as long as one is left', () => {
+  it('excludes all unreachable targets as long as another one is left', () => {
     const verdicts = new Map<string, OutlierVerdict>();
-    const taken = chooserWith(verdicts);
+    const chosenHosts = chooserWith(verdicts);
     for (let index = 0; index < 9; index++) {
       verdicts.set(`h${index}`, { reporters: 2, isUnreachable: true });
     }
-    expect([...taken()]).to.deep.equal(['h9']);
+    expect([...chosenHosts()]).to.deep.equal(['h9']);
     verdicts.set('h9', { reporters: 2, isUnreachable: true });
-    expect(taken().size).to.be.greaterThan(1);
+    expect(chosenHosts().size).to.be.greaterThan(1);
   });
 
-  it('leaves a group alone that lacks a member', () => {
+  it('avoids a group that lacks a member', () => {
     const model = { name: 'm', size: 2, pace: 1, workShare: 1, loadMs: 1, warmMs: 1 };
     const engine = { models: [model], slots: 1, loadsPerSecond: 1, loadsAtOnce: 1 };
     const service: Service = { ...SERVICE, engine: { ...engine, stagedModelsKept: 1 } };
@@ -149,27 +151,27 @@
     const hosts = [member('whole', 'g1', 0), member('x', 'g1', 1), member('lacking', 'g2', 0)];
     const objects = hosts.map(value => ({ name: value.id, revision: 1, value }));
     registry.takeList({ objects, revision: 1 });
-    let told = new Set(['g2']);
+    let lackingGroups = new Set(['g2']);
     const chooser = new TargetChooser(registry, new HostActivities(), {
       failureDomain: 'a',
       eligibility: () => 'eligible',
       othersAt: id => (id === 'whole' ? 100 : 0),
-      lacksMember: group => told.has(group.name),
+      lacksMember: group => lackingGroups.has(group.name),
     });
-    const query = { service, model: 'm', homeRegions: [], exclude: NOBODY };
+    const query = { service, model: 'm', homeRegions: [], exclude: NO_HOSTS };
     expect(chooser.choose(query)?.host.id).to.equal('whole');
-    const lost = (): string[] =>
+    const lostGroups = (): string[] =>
       chooser
         .groupsOf('s')
         .filter(group => chooser.isLost({ host: group.head as HostEntry, group }))
         .map(group => group.name);
-    expect(lost()).to.deep.equal(['g2']);
-    told = new Set();
-    expect(lost()).to.deep.equal([]);
+    expect(lostGroups()).to.deep.equal(['g2']);
+    lackingGroups = new Set();
+    expect(lostGroups()).to.deep.equal([]);
     expect(chooser.choose(query)?.host.id).to.equal('lacking');
   });
 
-  it('takes a host whose entry has gone for lost', () => {
+  it('considers a host lost once its entry is removed', () => {
     const registry = registryOf(['h0', 'h1']);
     const chooser = new TargetChooser(registry, new HostActivities(), {
       failureDomain: 'a',
@@ -183,14 +185,14 @@
     expect(chooser.isLost(target)).to.equal(true);
   });
 
-  it('follows each change of the hosts', () => {
+  it('uses the current hosts after each change of the registry', () => {
     const registry = registryOf(['h0']);
     const chooser = new TargetChooser(registry, new HostActivities(), {
       failureDomain: 'a',
       eligibility: () => 'eligible',
       othersAt: () => 0,
     });
-    const query = { service: SERVICE, model: undefined, homeRegions: [], exclude: NOBODY };
+    const query = { service: SERVICE, model: undefined, homeRegions: [], exclude: NO_HOSTS };
     expect(chooser.choose(query)?.host.id).to.equal('h0');
     registry.takeChanges([{ object: { name: 'h0', revision: 2, value: null }, deleted: true }]);
     expect(chooser.choose(query)).to.equal(undefined);
@@ -199,21 +201,21 @@
     expect(chooser.choose(query)?.host.id).to.equal('h1');
   });
 
-  it('expects the least known time to the first event, and nothing where one is not known', () => {
+  it('expects the shortest known time to the first event, or undefined if one is not known', () => {
     const activities = new HostActivities();
     const chooser = new TargetChooser(registryOf(['h0', 'h1']), activities, {
       failureDomain: 'a',
       eligibility: () => 'eligible',
       othersAt: () => 0,
     });
-    const query = { service: SERVICE, model: undefined, homeRegions: [], exclude: NOBODY };
+    const query = { service: SERVICE, model: undefined, homeRegions: [], exclude: NO_HOSTS };
     activities.noteFirst('h0', 300, 's/');
     expect(chooser.expectedFirstMs(query)).to.equal(undefined);
     activities.noteFirst('h1', 200, 's/');
     expect(chooser.expectedFirstMs(query)).to.equal(200);
   });
 
-  it('takes a host of which nothing is known to be like the others, not quicker', () => {
+  it('assumes the usual speed for a host without observed times, not a higher one', () => {
     const activities = new HostActivities();
     const chooser = new TargetChooser(registryOf(['known', 'new']), activities, {
       failureDomain: 'a',
@@ -223,13 +225,13 @@
     for (let request = 0; request < 20; request++) {
       activities.noteFirst('known', 200, 's/');
     }
-    const query = { service: SERVICE, model: undefined, homeRegions: [], exclude: NOBODY };
+    const query = { service: SERVICE, model: undefined, homeRegions: [], exclude: NO_HOSTS };
     for (let request = 0; request < 20; request++) {
       expect(chooser.choose(query)?.host.id).to.equal('known');
     }
   });
 
-  it('goes by load where only one late first event speaks against a host', () => {
+  it('chooses by load if only one late first event was observed at a host', () => {
     const activities = new HostActivities();
     const chooser = new TargetChooser(registryOf(['late', 'busy']), activities, {
       failureDomain: 'a',
@@ -240,12 +242,12 @@
       activities.noteFirst('elsewhere', 300, 's/');
     }
     activities.noteFirst('late', 600, 's/');
-    const query = { service: SERVICE, model: undefined, homeRegions: [], exclude: NOBODY };
-    const taken = Array.from({ length: 20 }, () => chooser.choose(query)?.host.id);
-    expect(taken.filter(id => id === 'late').length).to.be.greaterThan(15);
+    const query = { service: SERVICE, model: undefined, homeRegions: [], exclude: NO_HOSTS };
+    const chosenHosts = Array.from({ length: 20 }, () => chooser.choose(query)?.host.id);
+    expect(chosenHosts.filter(id => id === 'late').length).to.be.greaterThan(15);
   });
 
-  it('makes the list of targets once for each state of the hosts', () => {
+  it('builds the list of targets once for each version of the registry', () => {
     const registry = registryOf(names);
     const chooser = new TargetChooser(registry, new HostActivities(), {
       failureDomain: 'a',
@@ -259,28 +261,29 @@
       return ofService(service);
     };
     for (let request = 0; request < 50; request++) {
-      chooser.choose({ service: SERVICE, model: undefined, homeRegions: [], exclude: NOBODY });
+      chooser.choose({ service: SERVICE, model: undefined, homeRegions: [], exclude: NO_HOSTS });
     }
     expect(lists).to.equal(1);
   });
 });
 
-describe('choice among the targets of a subset', () => {
+describe('choice with a preferred subset of targets', () => {
   const names = Array.from({ length: 20 }, (_, index) => `h${index}`);
   const members = Array.from({ length: 60 }, (_, index) => `e${index}`);
   const query = { service: SERVICE, model: undefined, homeRegions: [] };
 
+  /** State of all hosts, which the tests change. */
   type Fleet = {
-    readonly lost: Set<string>;
+    readonly unreachable: Set<string>;
     readonly draining: Set<string>;
     readonly loads: Map<string, number>;
     readonly connected: Set<string>;
     readonly activities: HostActivities;
   };
 
-  function fleet(): Fleet {
+  function healthyFleet(): Fleet {
     return {
-      lost: new Set(),
+      unreachable: new Set(),
       draining: new Set(),
       loads: new Map(),
       connected: new Set(),
@@ -289,11 +292,11 @@
   }
 
   function chooserOf(
-    { lost, draining, loads, connected, activities }: Fleet,
+    { unreachable, draining, loads, connected, activities }: Fleet,
     counters = new Counters(),
   ): TargetChooser {
     const connections = {
-      // So short that the rate of these choices does not widen the subset.
+      // So short that the request rate of this test does not enlarge the subset.
       idleMs: () => 1,
       isConnected: ({ id }: HostEntry) => connected.size === 0 || connected.has(id),
     };
@@ -302,7 +305,7 @@
       eligibility: ({ id }) => (draining.has(id) ? 'draining' : 'eligible'),
       othersAt: id => loads.get(id) ?? 0,
       outlier: ({ host }) =>
-        lost.has(host.id) ? { reporters: 3, isUnreachable: true } : undefined,
+        unreachable.has(host.id) ? { reporters: 3, isUnreachable: true } : undefined,
       subsets: new SubsetChoice({
         self: 'e7',
         membership: { names: members },
@@ -312,63 +315,63 @@
     });
   }
 
-  function taken(chooser: TargetChooser, exclude = NOBODY): ReadonlySet<string> {
+  function chosenHosts(chooser: TargetChooser, exclude = NO_HOSTS): ReadonlySet<string> {
     const ids = Array.from({ length: 60 }, () => chooser.choose({ ...query, exclude })?.host.id);
     return new Set(ids.map(id => id ?? 'none'));
   }
 
-  it('keeps to a few hosts while all are alike', () => {
+  it('chooses only a few hosts while all have the same load', () => {
     const counters = new Counters();
-    expect(taken(chooserOf(fleet(), counters)).size).to.be.within(2, 8);
+    expect(chosenHosts(chooserOf(healthyFleet(), counters)).size).to.be.within(2, 8);
     expect(counters.value('subset_choices_total', { place: 'subset' })).to.equal(60);
     expect(counters.value('subset_targets_total')).to.be.at.least(180);
   });
 
-  it('takes others at once when all of the subset are lost, leave or were tried', () => {
-    const failures: readonly ((all: Fleet, first: ReadonlySet<string>) => ReadonlySet<string>)[] = [
-      ({ lost }, first) => (first.forEach(id => lost.add(id)), NOBODY),
-      ({ draining }, first) => (first.forEach(id => draining.add(id)), NOBODY),
-      ({ activities }, first) => (first.forEach(id => activities.noteFailure(id)), NOBODY),
+  it('chooses other hosts at once if all of the subset are unreachable, draining, failing or excluded', () => {
+    const causes: readonly ((state: Fleet, first: ReadonlySet<string>) => ReadonlySet<string>)[] = [
+      ({ unreachable }, first) => (first.forEach(id => unreachable.add(id)), NO_HOSTS),
+      ({ draining }, first) => (first.forEach(id => draining.add(id)), NO_HOSTS),
+      ({ activities }, first) => (first.forEach(id => activities.noteFailure(id)), NO_HOSTS),
       (_, first) => first,
     ];
-    for (const fail of failures) {
-      const all = fleet();
-      const chooser = chooserOf(all);
-      const first = taken(chooser);
-      const exclude = fail(all, first);
-      const next = taken(chooser, exclude);
+    for (const makeUnusable of causes) {
+      const state = healthyFleet();
+      const chooser = chooserOf(state);
+      const first = chosenHosts(chooser);
+      const exclude = makeUnusable(state, first);
+      const next = chosenHosts(chooser, exclude);
       expect([...next].filter(id => first.has(id) || id === 'none')).to.deep.equal([]);
     }
   });
 
-  it('goes on with whatever is left, down to the last host', () => {
-    const all = fleet();
-    const chooser = chooserOf(all);
-    names.slice(1).forEach(id => all.draining.add(id));
-    expect([...taken(chooser)]).to.deep.equal(['h0']);
+  it('chooses among the remaining hosts, down to the last one', () => {
+    const state = healthyFleet();
+    const chooser = chooserOf(state);
+    names.slice(1).forEach(id => state.draining.add(id));
+    expect([...chosenHosts(chooser)]).to.deep.equal(['h0']);
   });
 
-  it('goes outside when the hosts of the subset have clearly more to do than others', () => {
-    const all = fleet();
+  it('chooses outside the subset if its hosts have a clearly higher load than others', () => {
+    const state = healthyFleet();
     const counters = new Counters();
-    const chooser = chooserOf(all, counters);
-    const first = taken(chooser);
-    first.forEach(id => all.loads.set(id, 20));
-    names.filter(id => !first.has(id)).forEach(id => all.loads.set(id, 2));
-    const next = taken(chooser);
+    const chooser = chooserOf(state, counters);
+    const first = chosenHosts(chooser);
+    first.forEach(id => state.loads.set(id, 20));
+    names.filter(id => !first.has(id)).forEach(id => state.loads.set(id, 2));
+    const next = chosenHosts(chooser);
     expect([...next].filter(id => first.has(id))).to.deep.equal([]);
     expect(counters.value('subset_choices_total', { place: 'outside' })).to.be.at.least(1);
   });
 
-  it('takes a host to which a connection is open before one that is as busy', () => {
-    const all = fleet();
-    const chooser = chooserOf(all);
-    const [open = ''] = taken(chooser);
-    names.forEach(id => all.loads.set(id, 4));
-    all.connected.add(open);
+  it('prefers a host with an open connection to others with the same load', () => {
+    const state = healthyFleet();
+    const chooser = chooserOf(state);
+    const [connected = ''] = chosenHosts(chooser);
+    names.forEach(id => state.loads.set(id, 4));
+    state.connected.add(connected);
     const chosen = Array.from({ length: 100 }, () => {
-      return chooser.choose({ ...query, exclude: NOBODY })?.host.id;
+      return chooser.choose({ ...query, exclude: NO_HOSTS })?.host.id;
     });
-    expect(chosen.filter(id => id === open).length).to.be.greaterThan(50);
+    expect(chosen.filter(id => id === connected).length).to.be.greaterThan(50);
   });
 });
--- a/packages/entry/src/routing/target-chooser.ts
+++ b/packages/entry/src/routing/target-chooser.ts
@@ -1,4 +1,4 @@
-/** Chooses the host that takes a request: a group's head, or a host of a plain service. */
+/** Chooses the target of a request: the head of a replica group, or a host of a plain service. */
 import type { Service } from '../configuration/serving-configuration.js';
 import type { ReplicaGroup } from '../groups/replica-groups.js';
 import { headState, replicaGroups } from '../groups/replica-groups.js';
@@ -18,86 +18,90 @@
 import { sampleOf, withoutOutliers } from './target-sample.js';
 import type { TargetStanding } from './target-standings.js';
 
-/** A host that may take a request. */
+/** A host that a request may be sent to. */
 export type Target = {
   readonly host: HostEntry;
-  /** The group whose head it is, for model engines. */
+  /** The replica group whose head the host is; undefined for a plain service. */
   readonly group: ReplicaGroup | undefined;
 };
 
-/** What a target is chosen for. */
+/** The request for which a target is chosen. */
 export type TargetQuery = {
   readonly service: Service;
-  /** Model that the request names. */
+  /** Model that the request names; undefined where it names none. */
   readonly model: string | undefined;
-  /** Hosts that the request was sent to before, by `incarnationOf`. */
+  /** Hosts that the request has already been sent to, as keys from `incarnationOf`. */
   readonly exclude: ReadonlySet<string>;
-  /** Home regions that restrict the request. */
+  /** Home regions that restrict where the request may be sent. */
   readonly homeRegions: HomeRegions;
-  /** True where other requests have waited longer for the paced hosts. */
+  /** True to skip limited hosts (cold, or with a rate limit), because other requests have waited longer for them. */
   readonly leavesPaced?: boolean;
 };
 
-/** A host that serves a request's service and model, and whether it may receive the request. */
-type JudgedHost = { readonly host: HostEntry; readonly verdict: Eligibility };
+/** A host that serves the request's service and model, with its eligibility for the request. */
+type HostVerdict = { readonly host: HostEntry; readonly verdict: Eligibility };
 
-/** What decides where this entry host may send; `now` in monotonic milliseconds. */
+/**
+ * Facts that decide where this entry host may send a request; `now` in monotonic milliseconds. A limited host is one
+ * that is cold or has reported a rate limit.
+ */
 export type SendChoiceFacts = {
-  /** Whether the host may receive such a request. */
+  /** Whether the host may receive a request with these home regions. */
   readonly eligibility: (host: HostEntry, homeRegions: HomeRegions, now: number) => Eligibility;
-  /** For how much longer a host has asked for no requests, in milliseconds; left out: none ever asks. */
+  /** Rest of the backoff that a host has asked for, in milliseconds; left out: no host asks for one. */
   readonly backoffLeftMs?: (host: HostEntry, now: number) => number;
-  /** When requests may be sent to a host that takes few; undefined where none may, and for any other host. */
+  /** When requests may be sent to a limited host; undefined where none may be, and for a host without limits. */
   readonly paceOf?: (host: HostEntry, now: number) => SendPace | undefined;
-  /** True for a host that has named a limit, of which this entry host owns a share; left out: there are none. */
+  /** True if this entry host owns a share of the rate limit that the host has reported; left out: no host has one. */
   readonly ownsShare?: (host: HostEntry, now: number) => boolean;
-  /** Milliseconds until a host that takes few has a place for a request of any entry host; left out: at once. */
+  /** Milliseconds until a limited host accepts a request from any entry host; left out: 0. */
   readonly placeInMs?: (host: HostEntry, now: number) => number;
 };
 
-/** What a chooser knows beside the hosts. */
+/** Options of the chooser: the eligibility facts and what is known about load and health of targets. */
 export type ChooserOptions = SendChoiceFacts & {
+  /** Failure domain of this entry host. */
   readonly failureDomain: string;
-  /** Requests of other entry hosts in progress at a host. */
+  /** Number of requests that peers have in progress at a host, as last reported. */
   readonly othersAt: (hostId: string) => number;
-  /** True when a member has left the group (see `lacking-groups.ts`). */
+  /** True if the group has lost a member (see `lacking-groups.ts`). */
   readonly lacksMember?: (group: ReplicaGroup) => boolean;
-  /** What entry hosts report of the target; `now` in monotonic milliseconds. */
+  /** Verdict of the outlier reports on the target, undefined without one; `now` in monotonic milliseconds. */
   readonly outlier?: (target: Target, now: number) => OutlierVerdict | undefined;
-  /** The preferred subsets of targets; left out: no target is preferred for being in one. */
+  /** The subset of targets that this entry host prefers; left out: it prefers none. */
   readonly subsets?: SubsetChoice;
 };
 
-/** Time to the first event that is assumed while nothing is known of any host, in milliseconds. */
-const DEFAULT_FIRST_MS = 80;
-/** Weight of each request that is at a host already. */
+/** Assumed time to the first event, in milliseconds, until one has been observed at any host. */
+const DEFAULT_FIRST_EVENT_MS = 80;
+/** Increase of the cost of a host by each request in progress there, as a part of the cost of an idle host. */
 const QUEUE_WEIGHT = 0.25;
-/** Targets that are compared for one request. */
-const SAMPLE = 3;
-/** Factor on the cost of hosts in other failure domains. */
-const REMOTE_FACTOR = 1.05;
-/** Greatest part by which a cost is raised at random, so that equal targets are chosen alike. */
-const SPREAD = 0.1;
-/** Factor on the cost of hosts to which no idle connection is open: a new one costs a round trip. */
+/** Number of targets whose costs are compared for one request. */
+const SAMPLE_SIZE = 3;
+/** Cost factor of hosts in a failure domain other than that of this entry host. */
+const REMOTE_DOMAIN_FACTOR = 1.05;
+/** Upper bound of the random increase of a cost (0 to 1), so that equal targets are chosen equally often. */
+const MAX_RANDOM_INCREASE = 0.1;
+/** Cost factor of hosts to which no idle connection is open: opening one takes a round trip. */
 const UNCONNECTED_FACTOR = 1.1;
 /**
- * Factor on the cost of a host that has named a limit, at the turn of this entry host: a turn that is not used at once
- * delays all later ones. Such a host is passed over where others are expected to be twice as quick.
+ * Cost factor of a host with a rate limit of which this entry host owns a share: an allowance that is not used at once
+ * delays all later ones. Other hosts are still chosen first where they are expected to be twice as fast.
  */
-const TURN_FACTOR = 0.5;
+const OWNED_SHARE_FACTOR = 0.5;
 /**
- * Cost of the best target of the subset, as a multiple of that of one outside, from which the one outside
- * is taken. Differences below it may be chance, since loads of other entry hosts are some hundred
- * milliseconds old.
+ * A target outside the subset is chosen when the best one of the subset costs more than this many times as much.
+ * Smaller differences may be chance, since the reported loads of peers are some hundred milliseconds old.
  */
-const MOST_OVER_OUTSIDE = 1.5;
-/** Chooses targets by what this entry host has seen of them. */
+const MAX_COST_RATIO_TO_OUTSIDE = 1.5;
+
+/** Chooses targets by eligibility, health and expected time to the first event. */
 export class TargetChooser {
   readonly #registry: HostRegistry;
   readonly #activities: HostActivities;
   readonly #options: ChooserOptions;
   readonly #groups = new Map<string, readonly ReplicaGroup[]>();
-  /** Targets by service and model as of the registry's version: each request asks several times. */
+  /** Cached targets by service and model, for the current registry version: each request needs them several times. */
   readonly #targets = new Map<string, readonly Target[]>();
   #version = -1;
 
@@ -108,109 +112,113 @@
   }
 
   /**
-   * The best target of a random sample; undefined while there is none. Hosts that are avoided are taken
-   * only where there are no others.
+   * Returns the cheapest target of a random sample, or undefined if no target is eligible. Unhealthy targets are
+   * used only if there are no others.
    *
-   * A sample, because the loads of other entry hosts are some hundred milliseconds old: if all took the
-   * least loaded of all targets, they would overload the same one before its load is known.
+   * A sample is used because the reported loads of peers are some hundred milliseconds old: if all entry hosts chose
+   * the least loaded of all targets, they would overload it before its new load is reported.
    */
   choose(query: TargetQuery): Target | undefined {
     const now = monotonicMs();
-    const usable = this.#eligible(query, now).filter(({ host }) => !isExcluded(host, query));
-    const sound = usable.filter(target => this.#isSound(target, now));
-    const from = withoutOutliers(sound.length > 0 ? sound : usable, target =>
+    const eligible = this.#eligible(query, now).filter(({ host }) => !isExcluded(host, query));
+    const healthy = eligible.filter(target => this.#isHealthy(target, now));
+    const usable = withoutOutliers(healthy.length > 0 ? healthy : eligible, target =>
       this.#options.outlier?.(target, now),
     );
     const { service, model } = query;
     const typicalMs = this.#activities.typicalFirstMs(kindOf(service.name, model));
-    const near = this.#subsetOf(query, from, now);
-    const sample = [...sampleOf(near, SAMPLE), ...this.#atTheirTurn(from, now)];
+    const preferred = this.#subsetAmong(query, usable, now);
+    const sample = [...sampleOf(preferred, SAMPLE_SIZE), ...this.#withOwnedShare(usable, now)];
     const best = this.#cheapest(sample, typicalMs, now);
-    if (near.length === from.length || best === undefined) {
+    if (preferred.length === usable.length || best === undefined) {
       return best?.target;
     }
-    const outside = sampleOf(without(from, near), 1);
-    const other = this.#cheapest(outside, typicalMs, now);
-    const isBusy = other !== undefined && best.cost > MOST_OVER_OUTSIDE * other.cost;
-    this.#options.subsets?.noteChoice(isBusy ? 'outside' : 'subset', near.length);
-    return isBusy ? other.target : best.target;
+    const outside = sampleOf(without(usable, preferred), 1);
+    const cheapestOutside = this.#cheapest(outside, typicalMs, now);
+    const isOutsideCheaper =
+      cheapestOutside !== undefined && best.cost > MAX_COST_RATIO_TO_OUTSIDE * cheapestOutside.cost;
+    this.#options.subsets?.noteChoice(isOutsideCheaper ? 'outside' : 'subset', preferred.length);
+    return isOutsideCheaper ? cheapestOutside.target : best.target;
   }
 
-  /** True when a target other than the excluded ones exists that is not avoided. */
+  /** True if a healthy and eligible target exists besides the excluded ones. */
   hasSound(query: TargetQuery): boolean {
     const now = monotonicMs();
     return this.#eligible(query, now).some(
-      target => !isExcluded(target.host, query) && this.#isSound(target, now),
+      target => !isExcluded(target.host, query) && this.#isHealthy(target, now),
     );
   }
 
   /**
-   * Least time to the first event that targets have lately had, in milliseconds; undefined as soon
-   * as one of them, which then may be quicker, is not known.
+   * Shortest time to the first event that the healthy targets have lately had, in milliseconds; undefined if the time
+   * of one of them is not known, since it may be shorter.
    */
   expectedFirstMs(query: TargetQuery): number | undefined {
     const now = monotonicMs();
-    let least: number | undefined;
+    let lowestMs: number | undefined;
     for (const target of this.#eligible(query, now)) {
       const { host } = target;
-      if (!this.#isSound(target, now)) {
+      if (!this.#isHealthy(target, now)) {
         continue;
       }
       const firstMs = this.#activities.recentFirstMs(host.id, now);
       if (firstMs === undefined) {
         return undefined;
       }
-      least = Math.min(least ?? Infinity, firstMs);
+      lowestMs = Math.min(lowestMs ?? Infinity, firstMs);
     }
-    return least;
+    return lowestMs;
   }
 
   /**
-   * True when a silent run at the target will hardly go on: its host's entry has gone, or its group lacks a
-   * member and is stalled. To be asked of silent runs only: a host whose entry has gone because it was cut
-   * off from the store goes on serving.
+   * True if a silent run at the target is unlikely to continue: the host's entry was removed, or its group lacks a
+   * member and is stalled. Call it for silent runs only: a host whose entry was removed because it was cut off from
+   * the store continues to serve.
    */
   isLost({ host, group }: Target): boolean {
-    const lacks = group !== undefined && this.#options.lacksMember?.(group) === true;
-    return lacks || this.#registry.get(host.id) === undefined;
+    const lacksMember = group !== undefined && this.#options.lacksMember?.(group) === true;
+    return lacksMember || this.#registry.get(host.id) === undefined;
   }
 
-  /** Why a request has no target, and when it could have one. */
+  /** Returns why a request has no target, and when one could become available. */
   outlook(query: TargetQuery): TargetOutlook {
     const now = monotonicMs();
     const { service, model } = query;
     const verdictOf = (host: HostEntry): Eligibility => this.#verdict(host, query, now);
-    const judged = this.#candidates(query).map(({ host }) => ({ host, verdict: verdictOf(host) }));
-    const standings = judged.map(({ host, verdict }): TargetStanding =>
+    const verdicts = this.#candidates(query).map(({ host }) => ({
+      host,
+      verdict: verdictOf(host),
+    }));
+    const standings = verdicts.map(({ host, verdict }): TargetStanding =>
       isExcluded(host, query) ? 'tried' : verdict,
     );
-    const isOpenTo = (head: HostEntry): boolean => isOpen(verdictOf(head));
+    const mayReceive = (head: HostEntry): boolean => isEligibleOrPaced(verdictOf(head));
     const { engine } = service;
     const groups = engine === undefined ? [] : this.groupsOf(service.name);
     return {
       standings,
-      formingMs: engine === undefined ? undefined : formingMs(groups, engine, model, isOpenTo),
-      backoffMs: this.#backoffMs(judged, now),
+      formingMs: engine === undefined ? undefined : formingMs(groups, engine, model, mayReceive),
+      backoffMs: this.#backoffMs(verdicts, now),
     };
   }
 
-  // Hosts that the request was sent to count too: its caller may come back.
-  #backoffMs(judged: readonly JudgedHost[], now: number): number | undefined {
+  // Includes hosts that the request was already sent to, since the caller may repeat the request.
+  #backoffMs(verdicts: readonly HostVerdict[], now: number): number | undefined {
     const { backoffLeftMs } = this.#options;
-    const waits = judged.filter(({ verdict }) => verdict === 'backing-off');
-    const isAnyEligible = judged.some(({ verdict }) => verdict === 'eligible');
-    if (backoffLeftMs === undefined || waits.length === 0 || isAnyEligible) {
+    const backingOff = verdicts.filter(({ verdict }) => verdict === 'backing-off');
+    const isAnyEligible = verdicts.some(({ verdict }) => verdict === 'eligible');
+    if (backoffLeftMs === undefined || backingOff.length === 0 || isAnyEligible) {
       return undefined;
     }
-    return Math.ceil(Math.min(...waits.map(({ host }) => backoffLeftMs(host, now))));
+    return Math.ceil(Math.min(...backingOff.map(({ host }) => backoffLeftMs(host, now))));
   }
 
-  /** When all hosts that take few can take such requests together; undefined where none may be sent one. */
+  /** Combined send pace of all limited hosts for such requests; undefined if none of them may be sent one. */
   paceOf(query: TargetQuery): SendPace | undefined {
     const now = monotonicMs();
     const paces = this.#candidates(query).flatMap(({ host }) => {
-      const mayHave = isOpen(this.#verdict(host, query, now));
-      const pace = mayHave && !isExcluded(host, query) && this.#options.paceOf?.(host, now);
+      const mayReceive = isEligibleOrPaced(this.#verdict(host, query, now));
+      const pace = mayReceive && !isExcluded(host, query) && this.#options.paceOf?.(host, now);
       return pace ? [pace] : [];
     });
     if (paces.length === 0) {
@@ -221,26 +229,26 @@
   }
 
   /**
-   * Milliseconds until the first of the hosts that take few has a place for such a request, here or at another entry
-   * host; undefined where there are none, or where another host may receive it.
+   * Milliseconds until the first limited host accepts such a request, from this entry host or a peer; undefined if
+   * there is no limited host, or if another host is eligible.
    */
   placeInMs(query: TargetQuery): number | undefined {
     const now = monotonicMs();
-    const judged = this.#candidates(query).map(({ host }) => ({
+    const verdicts = this.#candidates(query).map(({ host }) => ({
       host,
       verdict: this.#verdict(host, query, now),
     }));
-    const paced = judged.filter(({ verdict }) => isPaced(verdict));
-    const isAnyEligible = judged.some(({ verdict }) => verdict === 'eligible');
+    const paced = verdicts.filter(({ verdict }) => isPaced(verdict));
+    const isAnyEligible = verdicts.some(({ verdict }) => verdict === 'eligible');
     if (paced.length === 0 || isAnyEligible) {
       return undefined;
     }
     return Math.min(...paced.map(({ host }) => this.#options.placeInMs?.(host, now) ?? 0));
   }
 
-  /** Groups of a service, by the entries of their members. */
+  /** Replica groups of a service, derived from the registry entries of their members. */
   groupsOf(service: string): readonly ReplicaGroup[] {
-    this.#forgetOlderVersion();
+    this.#clearStaleCaches();
     let groups = this.#groups.get(service);
     if (groups === undefined) {
       groups = replicaGroups(this.#registry.ofService(service));
@@ -249,7 +257,7 @@
     return groups;
   }
 
-  #forgetOlderVersion(): void {
+  #clearStaleCaches(): void {
     if (this.#version !== this.#registry.version) {
       this.#groups.clear();
       this.#targets.clear();
@@ -263,18 +271,18 @@
     );
   }
 
-  // Turns at a paced host go to those that have waited for them.
+  // The allowances of limited hosts go first to the requests that have waited for them.
   #verdict(host: HostEntry, { homeRegions, leavesPaced }: TargetQuery, now: number): Eligibility {
     const { eligibility, paceOf } = this.#options;
     const verdict = eligibility(host, homeRegions, now);
-    const isLeft = leavesPaced === true && verdict === 'eligible';
-    return isLeft && paceOf?.(host, now) !== undefined ? 'rate-limit' : verdict;
+    const skipsPaced = leavesPaced === true && verdict === 'eligible';
+    return skipsPaced && paceOf?.(host, now) !== undefined ? 'rate-limit' : verdict;
   }
 
   #candidates(query: TargetQuery): readonly Target[] {
-    this.#forgetOlderVersion();
+    this.#clearStaleCaches();
     const { service, model } = query;
-    // Callers choose the model's name freely where the service has no engine.
+    // Without an engine, callers may send any model name, so the cache key leaves it out.
     const kind = service.engine === undefined ? 'plain' : `engine/${model ?? ''}`;
     const key = `${service.name}/${kind}`;
     let targets = this.#targets.get(key);
@@ -297,35 +305,35 @@
     });
   }
 
-  // The first of this entry host's order among `from`: a target that is not usable is replaced by the next
-  // one of the order.
-  #subsetOf(query: TargetQuery, from: readonly Target[], now: number): readonly Target[] {
+  // Returns the first targets of `targets` in this entry host's order of preference: a missing target is replaced by
+  // the next one in that order.
+  #subsetAmong(query: TargetQuery, targets: readonly Target[], now: number): readonly Target[] {
     const { subsets } = this.#options;
     if (subsets === undefined) {
-      return from;
+      return targets;
     }
     const { service, model } = query;
     const served = service.engine === undefined ? undefined : model;
     const key = { service: service.name, model: served };
-    // Counted once: a waiting request asks again and again, until there is some target.
-    if (query.exclude.size === 0 && from.length > 0) {
+    // Counts each request once: one that backingOff calls this repeatedly until there is a target.
+    if (query.exclude.size === 0 && targets.length > 0) {
       subsets.noteRequest(key, now);
     }
     const all = this.#candidates(query);
     const size = subsets.sizeOf(key, all.length, now);
-    if (size >= from.length) {
-      return from;
+    if (size >= targets.length) {
+      return targets;
     }
     const ranks = subsets.ranksOf(
       key,
       all.map(({ host }) => host.id),
     );
     const rankOf = ({ host }: Target): number => ranks.get(host.id) ?? ranks.size;
-    return [...from].sort((a, b) => rankOf(a) - rankOf(b)).slice(0, size);
+    return [...targets].sort((a, b) => rankOf(a) - rankOf(b)).slice(0, size);
   }
 
-  // Hosts that have named a limit are eligible seldom, and at few entry hosts: a turn that is not used is lost for all.
-  #atTheirTurn(eligible: readonly Target[], now: number): readonly Target[] {
+  // Hosts with a rate limit are eligible rarely and at few entry hosts: an unused allowance is lost for all of them.
+  #withOwnedShare(eligible: readonly Target[], now: number): readonly Target[] {
     return eligible.filter(({ host }) => this.#options.ownsShare?.(host, now) === true);
   }
 
@@ -334,18 +342,18 @@
     typicalMs: number | undefined,
     now: number,
   ): { readonly target: Target; readonly cost: number } | undefined {
-    const priced = targets.map(target => ({
+    const costs = targets.map(target => ({
       target,
       cost: this.#cost(target.host, typicalMs, now),
     }));
-    return priced.reduce<(typeof priced)[number] | undefined>(
+    return costs.reduce<(typeof costs)[number] | undefined>(
       (best, next) => (best === undefined || next.cost < best.cost ? next : best),
       undefined,
     );
   }
 
-  // The head of a group that lacks a member still accepts requests, but none of them progresses.
-  #isSound({ host, group }: Target, now: number): boolean {
+  // The head of a group that lacks a member still accepts requests, but they make no progress.
+  #isHealthy({ host, group }: Target, now: number): boolean {
     if (group !== undefined && this.#options.lacksMember?.(group) === true) {
       return false;
     }
@@ -356,22 +364,22 @@
     return !cutOff && !this.#activities.isAvoided(id, now);
   }
 
-  // A target of which nothing is known counts as one of usual speed, not as a faster one.
+  // A target without observed times is assumed to have the usual speed, not a higher one.
   #cost(host: HostEntry, typicalMs: number | undefined, now: number): number {
     const activity = this.#activities.of(host.id);
-    const usualMs = typicalMs ?? DEFAULT_FIRST_MS;
+    const usualMs = typicalMs ?? DEFAULT_FIRST_EVENT_MS;
     const first = this.#activities.expectedFirstMs(host.id, usualMs, now);
     const queue = 1 + QUEUE_WEIGHT * (activity.inFlight + this.#options.othersAt(host.id));
-    const remote = host.failureDomain === this.#options.failureDomain ? 1 : REMOTE_FACTOR;
+    const remote = host.failureDomain === this.#options.failureDomain ? 1 : REMOTE_DOMAIN_FACTOR;
     const unconnected = this.#options.subsets?.isConnected(host) === false;
     const connection = unconnected ? UNCONNECTED_FACTOR : 1;
-    const turn = this.#options.ownsShare?.(host, now) === true ? TURN_FACTOR : 1;
-    return first * queue * remote * connection * turn * (1 + SPREAD * Math.random());
+    const share = this.#options.ownsShare?.(host, now) === true ? OWNED_SHARE_FACTOR : 1;
+    return first * queue * remote * connection * share * (1 + MAX_RANDOM_INCREASE * Math.random());
   }
 }
 
-// Hosts that may receive the request now, or at their next turn.
-function isOpen(verdict: Eligibility): boolean {
+// True for hosts that may receive the request now, or with the next allowance for them.
+function isEligibleOrPaced(verdict: Eligibility): boolean {
   return verdict === 'eligible' || isPaced(verdict);
 }
 
--- a/packages/entry/src/routing/target-outlook.test.ts
+++ b/packages/entry/src/routing/target-outlook.test.ts
@@ -22,16 +22,16 @@
 }
 
 describe('a group that is forming', () => {
-  it('serves soon when it is ready, later when it loads from the host, latest from the store', () => {
+  it('serves first if it is ready, later if its weights are staged, latest if they are not', () => {
     const [ready, warm, loading] = [group('ready'), group('joining', ['m']), group('joining')].map(
-      one => formingMs([one], ENGINE, 'm', anyHost),
+      forming => formingMs([forming], ENGINE, 'm', anyHost),
     );
     expect(ready).to.be.below(1_000);
     expect(warm).to.be.within(1_100, 2_100);
     expect(loading).to.be.within(12_000, 13_000);
   });
 
-  it('counts for its model, and where the request may go', () => {
+  it('counts only for its model, and only if its head may receive the request', () => {
     expect(formingMs([group('ready', [], 'n')], ENGINE, 'm', anyHost)).to.equal(undefined);
     expect(formingMs([group('ready')], ENGINE, 'm', () => false)).to.equal(undefined);
     expect(formingMs([group('broken'), group('open')], ENGINE, 'm', anyHost)).to.equal(undefined);
--- a/packages/entry/src/routing/target-outlook.ts
+++ b/packages/entry/src/routing/target-outlook.ts
@@ -5,31 +5,31 @@
 import type { HostEntry } from '../hosts/host-entry.js';
 import type { TargetStanding } from './target-standings.js';
 
-/** The outlook of one request. */
+/** Why one request has no target, and when it could have one. */
 export type TargetOutlook = {
-  /** One for each target that serves the service and model of the request. */
+  /** One status for each target that serves the service and model of the request. */
   readonly standings: readonly TargetStanding[];
   /**
-   * Upper bound on the time until a group that is forming now serves the model, in milliseconds; the
-   * least one where several are forming. Undefined while none is forming where the request may go.
+   * Upper bound on the time until a group that is forming now serves the model, in milliseconds; the least one if
+   * several are forming. Undefined if none is forming whose head may receive the request.
    */
   readonly formingMs: number | undefined;
   /**
-   * Time until the first of the hosts that have asked for no requests takes them again, in milliseconds. Undefined
-   * while none has, or another host may receive the request.
+   * Time until the first backoff of a host ends, in milliseconds. Undefined if no host has asked for a backoff, or if
+   * another host is eligible.
    */
   readonly backoffMs: number | undefined;
 };
 
 /**
- * Time from when a group is ready until it serves, in milliseconds: the order to open it, the opening
- * itself and the new entry of its head take one or two hundred each.
+ * Time from when a group is ready until it serves, in milliseconds: the order to open it, the opening itself and the
+ * new entry of its head take one or two hundred milliseconds each.
  */
-const OPENING_MS = 500;
+const OPEN_DELAY_MS = 500;
 
 /**
- * {@link TargetOutlook.formingMs} for a model; any model where it is undefined. `mayReceive` tells whether
- * the request may be sent to a group's head.
+ * Computes {@link TargetOutlook.formingMs} for a model, or for any model if it is undefined. `mayReceive` returns
+ * whether the request may be sent to a group's head.
  */
 export function formingMs(
   groups: readonly ReplicaGroup[],
@@ -41,15 +41,15 @@
     const { head } = group;
     const fits = group.model !== undefined && (model === undefined || group.model === model);
     const isUsable = fits && head !== undefined && mayReceive(head);
-    const loadMs = isUsable ? loadLeftMs(group, head, engine) : undefined;
-    return loadMs === undefined ? [] : [loadMs + OPENING_MS];
+    const loadMs = isUsable ? maxLoadMs(group, head, engine) : undefined;
+    return loadMs === undefined ? [] : [loadMs + OPEN_DELAY_MS];
   });
   return times.length === 0 ? undefined : Math.min(...times);
 }
 
-// Entries do not say when a load began, so it counts in full: a request may be refused that could have
-// waited, but none waits in vain.
-function loadLeftMs(
+// Entries do not say when a load began, so its full time is assumed: a request that could have waited may be refused,
+// but none waits without result.
+function maxLoadMs(
   group: ReplicaGroup,
   head: HostEntry,
   engine: EngineProfile,
--- a/packages/entry/src/routing/target-sample.ts
+++ b/packages/entry/src/routing/target-sample.ts
@@ -1,15 +1,16 @@
-/** Narrows the targets that are compared for one request. Pure but for chance. */
+/** Reduces the targets that are compared for one request. Pure except for randomness. */
 import type { OutlierVerdict } from './outlier-reports.js';
 
 /**
- * Greatest part of the targets that is excluded for being slow, 0 to 1, those with most reports first.
- * With as much as a half, a burst of traffic makes the remaining targets slow in turn.
+ * Greatest part of the targets that is excluded for being slow (0 to 1); those with the most reports are excluded
+ * first. With as much as a half, a burst of traffic makes the remaining targets slow as well.
  */
-const MOST_SLOW_PART = 0.2;
+const MAX_SLOW_PART = 0.2;
 
 /**
- * The targets without those that entry hosts report as unreachable or slow. Some slow ones only: when many are slow at
- * once the fleet is overloaded, and without them the others would be overloaded even more.
+ * Returns the targets without those that entry hosts report as unreachable or slow. Only some of the slow ones are
+ * excluded: if many are slow at once, the fleet is overloaded, and excluding all of them would overload the others
+ * even more.
  */
 export function withoutOutliers<T>(
   targets: readonly T[],
@@ -30,19 +31,19 @@
   const slowest = reachable
     .filter(target => verdicts.has(target))
     .sort((a, b) => reportersOf(b) - reportersOf(a))
-    .slice(0, Math.ceil(targets.length * MOST_SLOW_PART));
+    .slice(0, Math.ceil(targets.length * MAX_SLOW_PART));
   const kept = reachable.filter(target => !slowest.includes(target));
   return [kept, reachable, targets].find(list => list.length > 0) ?? [];
 }
 
-/** A uniform random sample; all targets where they are not more. */
+/** Returns a uniform random sample of `count` targets, or all targets if there are no more than that. */
 export function sampleOf<T>(targets: readonly T[], count: number): readonly T[] {
   if (targets.length <= count) {
     return targets;
   }
   const rest = [...targets];
   return Array.from({ length: count }, () => {
-    const [taken] = rest.splice(Math.floor(Math.random() * rest.length), 1);
-    return taken as T;
+    const [chosen] = rest.splice(Math.floor(Math.random() * rest.length), 1);
+    return chosen as T;
   });
 }
--- a/packages/entry/src/routing/target-standings.test.ts
+++ b/packages/entry/src/routing/target-standings.test.ts
@@ -9,15 +9,15 @@
 import { TargetChooser } from './target-chooser.js';
 import { describeStandings } from './target-standings.js';
 
-describe('standings of the targets of a request', () => {
-  it('are told with how many targets share each', () => {
+describe('status of the targets of a request', () => {
+  it('is formatted as the number of targets by status', () => {
     const standings = ['tried', 'tried', 'draining', 'evacuated', 'evacuated'] as const;
     expect(describeStandings(standings)).to.equal('tried:2,draining:1,evacuated:2');
     expect(describeStandings([])).to.equal('');
   });
 });
 
-describe('a chooser with no target to give', () => {
+describe('a chooser without an eligible target', () => {
   const model = { name: 'm', size: 1, pace: 1, workShare: 1, loadMs: 1, warmMs: 1 };
   const engine = { models: [model], slots: 1, loadsPerSecond: 1, loadsAtOnce: 1 };
   const service: Service = {
@@ -38,15 +38,15 @@
     registry.takeList({ objects, revision: 1 });
     return new TargetChooser(registry, new HostActivities(), {
       failureDomain: 'a',
-      eligibility: host => (host.failureDomain === 'gone' ? 'evacuated' : 'eligible'),
+      eligibility: host => (host.failureDomain === 'evacuated-domain' ? 'evacuated' : 'eligible'),
       othersAt: () => 0,
     });
   }
 
   const query = { service, model: 'm', homeRegions: [], exclude: new Set(['tried']) };
 
-  it('tells how each open group stands, whether it was tried or not', () => {
-    const chooser = chooserOf(head('tried', 'b', 'open'), head('h', 'gone', 'open'));
+  it('returns the status of each open group, including the ones already tried', () => {
+    const chooser = chooserOf(head('tried', 'b', 'open'), head('h', 'evacuated-domain', 'open'));
     expect(chooser.outlook(query)).to.deep.equal({
       standings: ['tried', 'evacuated'],
       formingMs: undefined,
@@ -54,17 +54,17 @@
     });
   });
 
-  it('tells when the first group serves that forms where the request may go', () => {
+  it('returns when the first forming group whose head may receive the request will serve', () => {
     const hosts = [
-      head('x', 'gone', 'joining'),
+      head('x', 'evacuated-domain', 'joining'),
       head('y', 'b', 'joining'),
       head('z', 'b', 'ready'),
     ];
     const { standings, formingMs } = chooserOf(...hosts).outlook(query);
     expect(standings).to.deep.equal([]);
     expect(formingMs).to.be.within(1, 1_000);
-    const [barred] = hosts;
-    expect(chooserOf(barred as HostEntry).outlook(query).formingMs).to.equal(undefined);
+    const [evacuatedHead] = hosts;
+    expect(chooserOf(evacuatedHead as HostEntry).outlook(query).formingMs).to.equal(undefined);
     const another = chooserOf(...hosts).outlook({ ...query, model: 'another' });
     expect(another.formingMs).to.equal(undefined);
   });
--- a/packages/entry/src/routing/target-standings.ts
+++ b/packages/entry/src/routing/target-standings.ts
@@ -1,13 +1,13 @@
-/** Why each target that serves a request's service and model was not chosen. Pure. */
+/** Status of each target that serves a request's service and model: whether it was eligible, or why not. Pure. */
 import type { Eligibility } from './eligibility.js';
 
-/** Whether one target may receive the request; all but `eligible` say why not. */
+/** Status of one target for a request; every value except `eligible` is the reason why it may not receive it. */
 export type TargetStanding =
   | Eligibility
-  /** The request was sent to it before. */
+  /** The request has already been sent to this target. */
   | 'tried';
 
-/** Number of targets by standing, as one field of a log line: `evacuated:2,tried:1`. */
+/** Formats the number of targets by status for a log field, for example `evacuated:2,tried:1`. */
 export function describeStandings(standings: readonly TargetStanding[]): string {
   return [...new Set(standings)]
     .map(standing => `${standing}:${standings.filter(other => other === standing).length}`)
