--- a/packages/entry/src/routing/eligibility.ts
+++ b/packages/entry/src/routing/eligibility.ts
@@ -48,7 +48,7 @@
   readonly take: (host: HostEntry, now: number) => boolean;
   /** Call before a request is written; returns false if no allowance was used for it before and there is none now. */
   readonly write: (host: HostEntry, now: number) => boolean;
-  /** Returns the allowance of a request that will not be written. */
+  /** Gives back the allowance that was used for a request that will not be written. */
   readonly giveBack: (host: HostEntry) => void;
 };
 
--- a/packages/entry/src/routing/outlier-reports.test.ts
+++ b/packages/entry/src/routing/outlier-reports.test.ts
@@ -88,7 +88,7 @@
     ).to.have.length(2);
   });
 
-  it('are passed on only as far as an ejection needs them, with their age, however many reporters there are', () => {
+  it('are passed on with their age, and only as many as an ejection needs', () => {
     for (let host = 0; host < 50; host++) {
       reports.note(report(`e${host}`, host < 25 ? 'a' : 'b'));
     }
--- a/packages/entry/src/routing/outlier-reports.ts
+++ b/packages/entry/src/routing/outlier-reports.ts
@@ -109,7 +109,7 @@
   /**
    * Returns the verdict on a target for an entry host in `ownDomain`; undefined if fewer than two entry hosts agree.
    * Only reports from `ownDomain` or from the target's failure domain count: entry hosts in another failure domain may
-   * be cut off from the target while this one is not.
+   * be cut off from the target while this one is not. `now` in monotonic milliseconds.
    */
   verdict(
     target: string,
--- a/packages/entry/src/routing/send-eligibility.ts
+++ b/packages/entry/src/routing/send-eligibility.ts
@@ -39,7 +39,7 @@
     return verdict === 'eligible';
   }
 
-  /** Returns the allowances of a claimed request that will not be written. */
+  /** Gives back the allowances that `take` used for a request that will not be written. */
   giveBack(host: HostEntry): void {
     this.#facts.paces.forEach(pace => {
       pace.giveBack(host);
--- a/packages/entry/src/routing/target-chooser.test.ts
+++ b/packages/entry/src/routing/target-chooser.test.ts
@@ -43,7 +43,7 @@
   it('spreads the requests of many entry hosts that know the same loads', () => {
     const registry = registryOf(names);
     const loads = new Map(names.map((name, index) => [name, index]));
-    const chosenHosts = new Map<string, number>();
+    const requestsByHost = new Map<string, number>();
     for (let host = 0; host < 200; host++) {
       const chooser = new TargetChooser(registry, new HostActivities(), {
         failureDomain: 'a',
@@ -57,12 +57,13 @@
         exclude: NO_HOSTS,
       });
       const id = target?.host.id ?? '';
-      chosenHosts.set(id, (chosenHosts.get(id) ?? 0) + 1);
+      requestsByHost.set(id, (requestsByHost.get(id) ?? 0) + 1);
     }
-    expect(Math.max(...chosenHosts.values()), 'requests at the least loaded host').to.be.lessThan(
-      100,
-    );
-    expect(chosenHosts.get('h9') ?? 0, 'requests at the most loaded host').to.be.lessThan(10);
+    expect(
+      Math.max(...requestsByHost.values()),
+      'requests at the least loaded host',
+    ).to.be.lessThan(100);
+    expect(requestsByHost.get('h9') ?? 0, 'requests at the most loaded host').to.be.lessThan(10);
   });
 
   it('chooses an avoided host only if there is no other', () => {
@@ -89,18 +90,18 @@
       othersAt: id => (registry.get(id)?.failureDomain === 'a' ? 50 : 0),
     });
     const hostOf = (name: string): HostEntry => registry.get(name) as HostEntry;
-    const chosenHosts = (): Set<string | undefined> => {
+    const chosenDomains = (): Set<string | undefined> => {
       const query = { service: SERVICE, model: undefined, homeRegions: [], exclude: NO_HOSTS };
       const targets = Array.from({ length: 40 }, () => chooser.choose(query));
       return new Set(targets.map(target => target?.host.failureDomain));
     };
     activities.noteUnreachable(hostOf('h0'));
     activities.noteUnreachable(hostOf('h1'));
-    expect(chosenHosts()).to.include('b');
+    expect(chosenDomains()).to.include('b');
     activities.noteUnreachable(hostOf('h2'));
-    expect([...chosenHosts()]).to.deep.equal(['a']);
+    expect([...chosenDomains()]).to.deep.equal(['a']);
     activities.noteProgress(hostOf('h3'));
-    expect(chosenHosts()).to.include('b');
+    expect(chosenDomains()).to.include('b');
   });
 
   function chooserWith(verdicts: ReadonlyMap<string, OutlierVerdict>): () => Set<string> {
--- a/packages/entry/src/routing/target-chooser.ts
+++ b/packages/entry/src/routing/target-chooser.ts
@@ -189,14 +189,14 @@
       host,
       verdict: verdictOf(host),
     }));
-    const standings = verdicts.map(({ host, verdict }): TargetStanding =>
+    const statuses = verdicts.map(({ host, verdict }): TargetStanding =>
       isExcluded(host, query) ? 'tried' : verdict,
     );
     const mayReceive = (head: HostEntry): boolean => isEligibleOrPaced(verdictOf(head));
     const { engine } = service;
     const groups = engine === undefined ? [] : this.groupsOf(service.name);
     return {
-      standings,
+      standings: statuses,
       formingMs: engine === undefined ? undefined : formingMs(groups, engine, model, mayReceive),
       backoffMs: this.#backoffMs(verdicts, now),
     };
--- a/packages/entry/src/routing/target-standings.test.ts
+++ b/packages/entry/src/routing/target-standings.test.ts
@@ -11,8 +11,8 @@
 
 describe('status of the targets of a request', () => {
   it('is formatted as the number of targets by status', () => {
-    const standings = ['tried', 'tried', 'draining', 'evacuated', 'evacuated'] as const;
-    expect(describeStandings(standings)).to.equal('tried:2,draining:1,evacuated:2');
+    const statuses = ['tried', 'tried', 'draining', 'evacuated', 'evacuated'] as const;
+    expect(describeStandings(statuses)).to.equal('tried:2,draining:1,evacuated:2');
     expect(describeStandings([])).to.equal('');
   });
 });
--- a/packages/entry/src/routing/target-standings.ts
+++ b/packages/entry/src/routing/target-standings.ts
@@ -8,8 +8,8 @@
   | 'tried';
 
 /** Formats the number of targets by status for a log field, for example `evacuated:2,tried:1`. */
-export function describeStandings(standings: readonly TargetStanding[]): string {
-  return [...new Set(standings)]
-    .map(standing => `${standing}:${standings.filter(other => other === standing).length}`)
+export function describeStandings(statuses: readonly TargetStanding[]): string {
+  return [...new Set(statuses)]
+    .map(status => `${status}:${statuses.filter(other => other === status).length}`)
     .join(',');
 }
