--- a/packages/entry/src/routing/backoff-days.test.ts
+++ b/packages/entry/src/routing/backoff-days.test.ts
@@ -1,8 +1,8 @@
 /**
- * Days of hosts that ask for no requests, leave, start again and are overloaded, before one entry host, without a
- * network and by a clock that the test sets. Checked from what the hosts see: the sends that reach one while it wants
- * none, later than half a second after it said so, and those that reach one that is leaving; and for callers, that
- * none is turned away while some host would take its request.
+ * Simulates one entry host and upstream hosts that reject requests with a backoff, recover, leave and restart, without
+ * a network and with clocks that the test sets. At the hosts, the tests count the requests that reach a host during its
+ * backoff, later than half a second after it asked for the backoff, and those that reach a leaving host. For callers,
+ * they check that no request is refused while some host would take it.
  */
 import { expect } from 'chai';
 import fc from 'fast-check';
@@ -20,10 +20,11 @@
 import type { TargetQuery } from './target-chooser.js';
 import { TargetChooser } from './target-chooser.js';
 
-const HOSTS = 4;
-/** What a platform allows: so many sends, later than so many milliseconds after a host asked for none. */
-const MOST_SENDS = 2;
-const HEARD_AFTER_MS = 500;
+const HOST_COUNT = 4;
+/** Requests that may reach a host in a backoff later than {@link EFFECTIVE_AFTER_MS}, as the platform allows. */
+const MAX_SENDS = 2;
+/** Time after the answer from which the backoff must be observed, in milliseconds. */
+const EFFECTIVE_AFTER_MS = 500;
 const SERVICE: Service = {
   name: 's',
   maxConnections: 10,
@@ -31,37 +32,39 @@
   engine: undefined,
 };
 
-/** What happens next: `host` is the number of one. */
+/** An event of the simulation; `host` is the index of a host. */
 type Step =
   | { readonly kind: 'rejects'; readonly host: number; readonly forMs: number }
   | { readonly kind: 'recovers' | 'leaves' | 'restarts'; readonly host: number }
-  /** Requests come, each written some time after it was sent on its way, in order. */
+  /** Requests arrive; each is written `onWayMs` after its target was chosen, in the order of arrival. */
   | {
       readonly kind: 'requests';
       readonly count: number;
       readonly everyMs: number;
       readonly onWayMs: number;
     }
-  /** The entry host stands still; its steady clock does, too. */
+  /** Time passes; while the entry host is suspended, its monotonic clock does not advance. */
   | { readonly kind: 'suspended' | 'passes'; readonly forMs: number };
 
-/** A mechanism taken out, which the check must notice. */
-type Without = 'term' | 'question-at-write' | 'start' | 'leaving';
+/** A mechanism that is left out of a simulation, which the checks must detect. */
+type DisabledMechanism = 'backoff' | 'check-at-write' | 'incarnation' | 'leaving';
 
-/** A host as it is, whatever is believed of it. */
+/** The actual state of a host, as opposed to the last reported one. */
 type Host = {
   startedAt: number;
   rejectsForMs: number;
   leaving: boolean;
-  /** Times in which it wants none: real time, of this start. */
-  terms: { from: number; until: number; sends: number; steadyUntil: number }[];
-  sendsSinceLeft: number;
-  /** When an answer said that it leaves; real time. */
-  saidLeaving: number | undefined;
+  /** Backoffs of this incarnation, in real time, and their ends by the monotonic clock. */
+  backoffs: { from: number; until: number; sends: number; monotonicUntil: number }[];
+  /** Requests that arrived after an answer with the notice that the host is leaving. */
+  sendsWhileLeaving: number;
+  /** When an answer first contained the notice that the host is leaving, in real time. */
+  leavingSince: number | undefined;
 };
 
-class Day {
-  readonly #without: Without | undefined;
+/** One simulation of an entry host and its upstream hosts. */
+class Simulation {
+  readonly #disabled: DisabledMechanism | undefined;
   readonly #hosts: Host[] = [];
   readonly #registry = new HostRegistry(
     (_, value) => readTestHost(value as HostEntry),
@@ -71,18 +74,20 @@
   readonly #notices: HostNotices;
   readonly #chooser: TargetChooser;
   readonly #eligibility: SendEligibility;
-  #steadyMs = 0;
+  /** The monotonic clock of the entry host, in milliseconds. */
+  #monotonicMs = 0;
+  /** The clock that also advances while the entry host is suspended, in milliseconds. */
   #realMs = 0;
   #revision = 0;
-  /** Requests that were turned away although some host would have taken them. */
+  /** Number of requests that were refused although some host would have taken them. */
   wronglyRefused = 0;
 
-  constructor(without?: Without) {
-    this.#without = without;
+  constructor(disabled?: DisabledMechanism) {
+    this.#disabled = disabled;
     const gauges = new Gauges();
     this.#notices = new HostNotices({
       leaves: host => {
-        if (without !== 'leaving') {
+        if (disabled !== 'leaving') {
           this.#registry.noteLeaving(host);
         }
       },
@@ -90,29 +95,29 @@
       log: silentLog(),
       counters: this.#counters,
       gauges,
-      now: () => this.#steadyMs,
+      now: () => this.#monotonicMs,
     });
-    this.#eligibility = new SendEligibility(this.#facts(), this.#counters);
+    this.#eligibility = new SendEligibility(this.#eligibilityFacts(), this.#counters);
     this.#chooser = new TargetChooser(this.#registry, new HostActivities(), {
       failureDomain: 'a',
       othersAt: () => 0,
-      eligibility: (host, homes) => this.#eligibility.of(host, homes, this.#steadyMs),
+      eligibility: (host, homes) => this.#eligibility.of(host, homes, this.#monotonicMs),
     });
-    for (let index = 0; index < HOSTS; index++) {
+    for (let index = 0; index < HOST_COUNT; index++) {
       this.#hosts.push(newHost(1));
       this.#writeEntry(index);
     }
   }
 
-  #facts(): EligibilityFacts {
-    const startedAt = this.#without === 'start' ? 1 : undefined;
+  #eligibilityFacts(): EligibilityFacts {
+    const startedAt = this.#disabled === 'incarnation' ? 1 : undefined;
     return {
       evacuations: { isKnown: true, isEvacuated: () => false },
       paces: [],
       regionOf: () => undefined,
       backoffs: {
         backoffLeftMs: (host, now) =>
-          this.#without === 'term'
+          this.#disabled === 'backoff'
             ? 0
             : this.#notices.backoffLeftMs(
                 startedAt === undefined ? host : { ...host, startedAt },
@@ -122,23 +127,23 @@
     };
   }
 
-  /** Sends that reached hosts which wanted none, beyond what is allowed. */
-  get badSends(): number {
-    const inTerms = this.#hosts.flatMap(host => host.terms.map(term => term.sends));
-    const toLeaving = this.#hosts.map(host => host.sendsSinceLeft);
-    return [...inTerms.map(sends => Math.max(0, sends - MOST_SENDS)), ...toLeaving].reduce(
-      (sum, one) => sum + one,
+  /** Number of requests that reached hosts in a backoff, beyond the allowed ones, or leaving hosts. */
+  get excessSends(): number {
+    const inBackoffs = this.#hosts.flatMap(host => host.backoffs.map(backoff => backoff.sends));
+    const toLeaving = this.#hosts.map(host => host.sendsWhileLeaving);
+    return [...inBackoffs.map(sends => Math.max(0, sends - MAX_SENDS)), ...toLeaving].reduce(
+      (sum, count) => sum + count,
       0,
     );
   }
 
-  play(steps: readonly Step[]): void {
+  run(steps: readonly Step[]): void {
     steps.forEach(step => {
-      this.#step(step);
+      this.#apply(step);
     });
   }
 
-  #step(step: Step): void {
+  #apply(step: Step): void {
     switch (step.kind) {
       case 'rejects':
         this.#host(step.host).rejectsForMs = step.forMs;
@@ -160,7 +165,7 @@
         this.#realMs += step.forMs;
         break;
       case 'passes':
-        this.#pass(step.forMs);
+        this.#advance(step.forMs);
         break;
     }
   }
@@ -168,19 +173,19 @@
   #requests({ count, everyMs, onWayMs }: Extract<Step, { kind: 'requests' }>): void {
     const onWay: { readonly entry: HostEntry; readonly writeAt: number }[] = [];
     for (let index = 0; index < count; index++) {
-      while ((onWay[0]?.writeAt ?? Infinity) <= this.#steadyMs) {
+      while ((onWay[0]?.writeAt ?? Infinity) <= this.#monotonicMs) {
         this.#write((onWay.shift() as { entry: HostEntry }).entry);
       }
       const entry = this.#claim(new Set());
       if (entry === undefined) {
         this.#noteRefusal();
       } else {
-        onWay.push({ entry, writeAt: this.#steadyMs + onWayMs });
+        onWay.push({ entry, writeAt: this.#monotonicMs + onWayMs });
       }
-      this.#pass(everyMs);
+      this.#advance(everyMs);
     }
     onWay.forEach(({ entry, writeAt }) => {
-      this.#pass(Math.max(0, writeAt - this.#steadyMs));
+      this.#advance(Math.max(0, writeAt - this.#monotonicMs));
       this.#write(entry);
     });
   }
@@ -188,52 +193,53 @@
   #claim(exclude: ReadonlySet<string>): HostEntry | undefined {
     const query: TargetQuery = { service: SERVICE, model: undefined, exclude, homeRegions: [] };
     const host = this.#chooser.choose(query)?.host;
-    const verdict = host && this.#eligibility.take(host, [], this.#steadyMs);
+    const verdict = host && this.#eligibility.take(host, [], this.#monotonicMs);
     return verdict === 'eligible' ? host : undefined;
   }
 
-  // A host that wants none for a time is left alone a little longer, and while the machine was suspended.
+  // Counts the refusal as wrong where some host has neither a backoff nor a notice that it is leaving. Backoffs are
+  // extended at random, and by the time for which the machine was suspended.
   #noteRefusal(): void {
-    const isFree = this.#hosts.some(host => {
-      const isQuiet = host.terms.every(
-        ({ steadyUntil }) => steadyUntil + MOST_SPREAD_MS < this.#steadyMs,
+    const isAvailable = this.#hosts.some(host => {
+      const hasNoBackoff = host.backoffs.every(
+        ({ monotonicUntil }) => monotonicUntil + MOST_SPREAD_MS < this.#monotonicMs,
       );
-      return isQuiet && host.saidLeaving === undefined;
+      return hasNoBackoff && host.leavingSince === undefined;
     });
-    this.wronglyRefused += Number(isFree);
+    this.wronglyRefused += Number(isAvailable);
   }
 
   #write(entry: HostEntry): void {
     const latest = this.#registry.latestOf(entry);
-    const mayWrite = this.#eligibility.stillMay(latest, [], this.#steadyMs);
-    if (!mayWrite && this.#without !== 'question-at-write') {
+    const mayWrite = this.#eligibility.stillMay(latest, [], this.#monotonicMs);
+    if (!mayWrite && this.#disabled !== 'check-at-write') {
       return;
     }
     const host = this.#host(Number(entry.id));
-    host.terms
-      .filter(({ from, until }) => this.#realMs > from + HEARD_AFTER_MS && this.#realMs < until)
-      .forEach(term => {
-        term.sends += 1;
+    host.backoffs
+      .filter(({ from, until }) => this.#realMs > from + EFFECTIVE_AFTER_MS && this.#realMs < until)
+      .forEach(backoff => {
+        backoff.sends += 1;
       });
-    host.sendsSinceLeft += Number(this.#realMs > (host.saidLeaving ?? Infinity));
+    host.sendsWhileLeaving += Number(this.#realMs > (host.leavingSince ?? Infinity));
     this.#answer(host, entry);
   }
 
   #answer(host: Host, entry: HostEntry): void {
     const backoffMs = host.rejectsForMs;
     if (backoffMs > 0) {
-      const [until, steadyUntil] = [this.#realMs + backoffMs, this.#steadyMs + backoffMs];
-      host.terms.push({ from: this.#realMs, until, sends: 0, steadyUntil });
+      const [until, monotonicUntil] = [this.#realMs + backoffMs, this.#monotonicMs + backoffMs];
+      host.backoffs.push({ from: this.#realMs, until, sends: 0, monotonicUntil });
     }
     if (host.leaving) {
-      host.saidLeaving ??= this.#realMs;
+      host.leavingSince ??= this.#realMs;
     }
-    const heardOf = this.#without === 'start' ? { ...entry, startedAt: 1 } : entry;
-    this.#notices.hear(heardOf, { backoffMs, isLeaving: host.leaving });
+    const noticeHost = this.#disabled === 'incarnation' ? { ...entry, startedAt: 1 } : entry;
+    this.#notices.hear(noticeHost, { backoffMs, isLeaving: host.leaving });
   }
 
-  #pass(ms: number): void {
-    this.#steadyMs += ms;
+  #advance(ms: number): void {
+    this.#monotonicMs += ms;
     this.#realMs += ms;
   }
 
@@ -255,13 +261,13 @@
     startedAt,
     rejectsForMs: 0,
     leaving: false,
-    terms: [],
-    sendsSinceLeft: 0,
-    saidLeaving: undefined,
+    backoffs: [],
+    sendsWhileLeaving: 0,
+    leavingSince: undefined,
   };
 }
 
-const host = fc.nat(HOSTS - 1);
+const host = fc.nat(HOST_COUNT - 1);
 const stepArbitrary: fc.Arbitrary<Step> = fc.oneof(
   fc.record({
     kind: fc.constant('rejects' as const),
@@ -281,32 +287,33 @@
     forMs: fc.integer({ min: 1, max: 3_000 }),
   }),
 );
-const dayArbitrary = fc.array(stepArbitrary, { minLength: 4, maxLength: 30 });
-const DAYS = { numRuns: 300 };
+const stepsArbitrary = fc.array(stepArbitrary, { minLength: 4, maxLength: 30 });
+const RUN_PARAMETERS = { numRuns: 300 };
 
-function find(without: Without): boolean {
-  const keepsRule = fc.property(dayArbitrary, steps => {
-    const day = new Day(without);
-    day.play(steps);
-    return day.badSends === 0 && day.wronglyRefused === 0;
+// True when some simulation without the mechanism breaks a rule.
+function isDetected(disabled: DisabledMechanism): boolean {
+  const property = fc.property(stepsArbitrary, steps => {
+    const simulation = new Simulation(disabled);
+    simulation.run(steps);
+    return simulation.excessSends === 0 && simulation.wronglyRefused === 0;
   });
-  return fc.check(keepsRule, { ...DAYS, seed: 1, endOnFailure: true }).failed;
+  return fc.check(property, { ...RUN_PARAMETERS, seed: 1, endOnFailure: true }).failed;
 }
 
-describe('days of hosts that ask for no requests', () => {
-  it('bring no host more requests than it may get, and refuse none that a host would take', () => {
-    const keepsRule = fc.property(dayArbitrary, steps => {
-      const day = new Day();
-      day.play(steps);
-      expect(day.badSends).to.equal(0);
-      expect(day.wronglyRefused).to.equal(0);
+describe('simulated hosts that ask for backoff, leave and restart', () => {
+  it('receive no more requests than allowed, and none is refused that a host would take', () => {
+    const property = fc.property(stepsArbitrary, steps => {
+      const simulation = new Simulation();
+      simulation.run(steps);
+      expect(simulation.excessSends).to.equal(0);
+      expect(simulation.wronglyRefused).to.equal(0);
     });
-    fc.assert(keepsRule, DAYS);
+    fc.assert(property, RUN_PARAMETERS);
   });
 
-  for (const without of ['term', 'question-at-write', 'start', 'leaving'] as const) {
-    it(`go wrong without the ${without}`, () => {
-      expect(find(without)).to.equal(true);
+  for (const disabled of ['backoff', 'check-at-write', 'incarnation', 'leaving'] as const) {
+    it(`break a rule without the mechanism ${disabled}`, () => {
+      expect(isDetected(disabled)).to.equal(true);
     });
   }
 });
--- a/packages/entry/src/routing/connect-times.test.ts
+++ b/packages/entry/src/routing/connect-times.test.ts
@@ -2,36 +2,36 @@
 
 import { ConnectTimes } from './connect-times.js';
 
-describe('the limit of a connection', () => {
-  it('is the greatest one until a connection to the failure domain is known', () => {
+describe('the connect timeout', () => {
+  it('is the maximum until a connect time of the failure domain is known', () => {
     const times = new ConnectTimes();
     times.note('a', 1);
     expect(times.limitMs('b')).to.equal(300);
     expect(times.limitMs('a')).to.equal(100);
   });
 
-  it('follows what connections usually take', () => {
+  it('follows the average connect time', () => {
     const times = new ConnectTimes();
     times.note('far', 22);
     expect(times.limitMs('far')).to.be.closeTo(220, 1);
   });
 
-  it('stays short while some hosts are dead', () => {
+  it('stays short while some hosts are unreachable', () => {
     const times = new ConnectTimes();
     times.note('a', 1);
     for (let round = 0; round < 50; round++) {
       times.note('a', times.limitMs('a'));
-      for (let call = 0; call < 20; call++) {
+      for (let connection = 0; connection < 20; connection++) {
         times.note('a', 1);
       }
     }
     expect(times.limitMs('a')).to.equal(100);
   });
 
-  it('rises again when all connections have become slower than it', () => {
+  it('rises again when all connections take longer than the timeout', () => {
     const times = new ConnectTimes();
     times.note('a', 1);
-    for (let call = 0; call < 40; call++) {
+    for (let connection = 0; connection < 40; connection++) {
       times.note('a', times.limitMs('a'));
     }
     expect(times.limitMs('a')).to.equal(300);
--- a/packages/entry/src/routing/demand-meter.ts
+++ b/packages/entry/src/routing/demand-meter.ts
@@ -1,56 +1,57 @@
 /**
- * Measures how the work of a service is divided between its models, from the requests of this host
- * and from what other entry hosts tell of theirs.
+ * Measures how the work of a service is divided among its models, from the requests of this entry host and from the
+ * sums that its peers report.
  */
 import type { EngineProfile } from '../configuration/serving-configuration.js';
 import { monotonicMs } from '../server/time.js';
 
-/** Time in which the weight of a request falls to a third, in milliseconds. */
+/** Time in which the weight of a request falls to 1/e, in milliseconds. */
 const DECAY_MS = 8_000;
-/** Weight that the declared shares have beside what was measured, in requests. */
+/** Weight of the declared shares against the measured ones, in requests. */
 const PRIOR_REQUESTS = 30;
-/** Work of a generated token against one that is read. */
+/** Work of a generated token as a multiple of that of a prompt token. */
 const OUTPUT_WEIGHT = 40;
 
-type Measured = { work: number; at: number };
+/** A decayed sum, as of a time in monotonic milliseconds. */
+type DecayedSum = { work: number; at: number };
 
-/** Key of the number of requests, beside those of models. */
+/** Takes the place of a model in the key under which all requests of a service are counted. */
 const ALL_REQUESTS = '';
 
-/** Decayed sums of work by service and model. */
+/** Decayed sums of work by service and model, and of requests by service. */
 export class DemandMeter {
-  readonly #sums = new Map<string, Measured>();
-  readonly #ofOthers: (key: string) => number;
+  readonly #sums = new Map<string, DecayedSum>();
+  readonly #peerSum: (key: string) => number;
 
-  /** `ofOthers` gives what other entry hosts have of a key of `counts`. */
-  constructor(ofOthers: (key: string) => number = () => 0) {
-    this.#ofOthers = ofOthers;
+  /** `peerSum` returns the sum of the peers for a key as this entry host reports its own sums. */
+  constructor(peerSum: (key: string) => number = () => 0) {
+    this.#peerSum = peerSum;
   }
 
-  /** Notes a request; `tokenCounts` are those of the prompt and the most it generates. */
+  /** Records a request; `tokenCounts`: the prompt's tokens and the most that are generated, separated by a comma. */
   note(service: string, model: string, tokenCounts: string | undefined): void {
     const now = monotonicMs();
     add(this.#sums, keyOf(service, model), workOf(tokenCounts), now);
     add(this.#sums, keyOf(service, ALL_REQUESTS), 1, now);
   }
 
-  /** This host's sums by key. */
+  /** The sums of this entry host, by key. */
   counts(): [string, number][] {
     const now = monotonicMs();
-    return [...this.#sums].map(([key, measured]) => [key, Math.round(decayed(measured, now))]);
+    return [...this.#sums].map(([key, sum]) => [key, Math.round(currentSum(sum, now))]);
   }
 
-  /** True once any entry host has had a request for the service, as far as others have told. */
+  /** True once any entry host has had a request for the service, as far as the peers have reported. */
   hasRequests(service: string): boolean {
     return this.#sumOf(keyOf(service, ALL_REQUESTS)) > 0;
   }
 
-  /** The declared profile of an engine, with the parts of its models as the work comes. */
+  /** The declared profile of an engine, with its models' measured shares of the work. */
   profileOf(service: string, declared: EngineProfile | undefined): EngineProfile | undefined {
     return declared && { ...declared, models: this.shared(service, declared.models) };
   }
 
-  /** Models with their part of the work, 0 to 1; declared shares count until enough is measured. */
+  /** The models with their shares of the work, 0 to 1: the declared ones, replaced gradually by the measured ones. */
   shared<T extends { readonly name: string; readonly workShare: number }>(
     service: string,
     models: readonly T[],
@@ -59,15 +60,15 @@
     const total = work.reduce((sum, value) => sum + value, 0);
     const requests = this.#sumOf(keyOf(service, ALL_REQUESTS));
     return models.map((model, index) => {
-      const measured = total > 0 ? (work[index] ?? 0) / total : model.workShare;
-      const weighted = measured * requests + model.workShare * PRIOR_REQUESTS;
-      return { ...model, workShare: weighted / (requests + PRIOR_REQUESTS) };
+      const measuredShare = total > 0 ? (work[index] ?? 0) / total : model.workShare;
+      const weightedSum = measuredShare * requests + model.workShare * PRIOR_REQUESTS;
+      return { ...model, workShare: weightedSum / (requests + PRIOR_REQUESTS) };
     });
   }
 
   #sumOf(key: string): number {
     const own = this.#sums.get(key);
-    return (own === undefined ? 0 : decayed(own, monotonicMs())) + this.#ofOthers(key);
+    return (own === undefined ? 0 : currentSum(own, monotonicMs())) + this.#peerSum(key);
   }
 }
 
@@ -75,18 +76,20 @@
   return `${service}/${model}`;
 }
 
+// Work of a request, in prompt tokens; 1 where the counts are missing or invalid.
 function workOf(tokenCounts: string | undefined): number {
   const [prompt, output] = (tokenCounts ?? '').split(',').map(Number);
   const work = (prompt ?? 0) + OUTPUT_WEIGHT * (output ?? 0);
   return Number.isFinite(work) && work > 0 ? work : 1;
 }
 
-function add(sums: Map<string, Measured>, key: string, amount: number, now: number): void {
-  const before = sums.get(key);
-  const work = (before === undefined ? 0 : decayed(before, now)) + amount;
+function add(sums: Map<string, DecayedSum>, key: string, amount: number, now: number): void {
+  const previous = sums.get(key);
+  const work = (previous === undefined ? 0 : currentSum(previous, now)) + amount;
   sums.set(key, { work, at: now });
 }
 
-function decayed(measured: Measured, now: number): number {
-  return measured.work * Math.exp(-(now - measured.at) / DECAY_MS);
+// The sum, with the weight that its requests have left now.
+function currentSum(sum: DecayedSum, now: number): number {
+  return sum.work * Math.exp(-(now - sum.at) / DECAY_MS);
 }
--- a/packages/entry/src/routing/host-activity.ts
+++ b/packages/entry/src/routing/host-activity.ts
@@ -1,66 +1,76 @@
-/** What this entry host has seen of each upstream host through its own requests. */
+/** Records the activity of each upstream host as this entry host observes it through its own requests. */
 import type { HostEntry } from '../hosts/host-entry.js';
 import { monotonicMs } from '../server/time.js';
 import { ConnectTimes } from './connect-times.js';
 import { DomainReach } from './domain-reach.js';
 
-/** Weight of the newest value in the moving averages. */
+/** Weight of the newest value in the moving average of a host, 0 to 1. */
 const SMOOTHING = 0.25;
-/** Age at which a moving average says nothing any more, in milliseconds. */
-const FIRST_VALID_MS = 1_500;
+/**
+ * Age from which the moving average of a host is not used on its own any more, in milliseconds; also the time in which
+ * its weight falls to 1/e.
+ */
+const AVERAGE_VALID_MS = 1_500;
+/** Time for which a host is avoided after a failure, in milliseconds, for each failure in a row. */
 const FAILURE_COOLDOWN_MS = 1_500;
+/** Failures in a row up to which the cooldown grows. */
+const MAX_COOLDOWN_FACTOR = 3;
 /**
- * Time for which a host is avoided whose process is known to have ended, in milliseconds: a little more than until
- * its entry goes. Without it each entry host finds out by requests of its own, up to twelve hosts in a row.
+ * Time for which a host is avoided whose process is known to have ended, in milliseconds: a little longer than it takes
+ * until the host's entry is removed. Otherwise each entry host would find out through failed requests of its own, for
+ * up to twelve hosts in a row.
  */
 const ENDED_AVOID_MS = 4_500;
+/** Time without progress after which the activity of an idle, removed host is deleted, in milliseconds. */
 const FORGET_MS = 120_000;
 
-/** One host as seen by this entry host. */
+/** Activity of one upstream host as observed by this entry host. */
 export type HostActivity = {
-  /** Own requests at the host. */
+  /** Requests of this entry host in progress at the host. */
   inFlight: number;
-  /** Those of them that have brought something. */
+  /** Requests in progress whose first bytes have arrived. */
   begun: number;
   /** Moving average of the time to the first event or answer, in milliseconds. */
   firstMs: number | undefined;
-  /** When `firstMs` was last fed (monotonic milliseconds). */
+  /** When `firstMs` was last updated (monotonic milliseconds). */
   firstAt: number;
-  /** Values behind `firstMs`, of which older ones count less. */
+  /** Decayed number of values behind `firstMs`, in which older ones count less. */
   firstWeight: number;
-  /** When bytes last came from the host (monotonic milliseconds). */
+  /** When bytes last arrived from the host (monotonic milliseconds). */
   lastProgressAt: number;
-  /** Until when new requests avoid the host. */
+  /** Until when new requests avoid the host (monotonic milliseconds). */
   avoidUntil: number;
+  /** Failures in a row; a first event or an answer resets them. */
   consecutiveFailures: number;
 };
 
-/** Usual requests that the few of one host are weighed against. */
+/** Number of requests with the typical time that the measured ones of a host are averaged with. */
 const PRIOR_REQUESTS = 4;
-/** Weight of the newest value in the usual times of a kind of request. */
+/** Weight of the newest value in the typical time of a kind of request, 0 to 1. */
 const TYPICAL_SMOOTHING = 0.05;
-/** Values from which the usual time of a kind counts as known. */
-const TYPICAL_LEAST = 10;
-/** Factor over the usual time to which a value is cut, so that a lost group does not become usual. */
-const TYPICAL_CUT = 3;
+/** Number of values from which the typical time of a kind of request counts as known. */
+const MIN_TYPICAL_VALUES = 10;
+/** Multiple of the typical time at which a value is capped, so that a lost group does not distort it. */
+const TYPICAL_CAP_FACTOR = 3;
 
-type Typical = { ms: number; count: number };
+/** Moving average of the times of a kind of request, and the number of values in it. */
+type TypicalTime = { ms: number; count: number };
 
-/** Requests whose times can be compared: those of one model, or of one plain service. */
+/** Key of the requests whose times can be compared: those for one model, or for one plain service. */
 export function kindOf(service: string, model: string | undefined): string {
   return `${service}/${model ?? ''}`;
 }
 
-/** The activity of all hosts, by id. */
+/** The activity of all upstream hosts, by host id. */
 export class HostActivities {
-  /** Failure domains as seen by this entry host. */
+  /** Reachability of failure domains as observed by this entry host. */
   readonly reach = new DomainReach();
-  /** Connect times of hosts, by failure domain. */
+  /** Connect times of upstream hosts, by failure domain. */
   readonly connects = new ConnectTimes();
   readonly #hosts = new Map<string, HostActivity>();
-  readonly #typical = new Map<string, Typical>();
+  readonly #typical = new Map<string, TypicalTime>();
 
-  /** Activity of a host, made on first use. */
+  /** Activity of a host, created on first use. */
   of(id: string): HostActivity {
     let activity = this.#hosts.get(id);
     if (activity === undefined) {
@@ -79,24 +89,24 @@
     return activity;
   }
 
-  /** A request has gone to the host. */
+  /** Counts a request that is sent to the host. */
   enter(id: string): void {
     this.of(id).inFlight += 1;
   }
 
-  /** A request at the host has brought its first bytes. */
+  /** Counts a request whose first bytes arrived from the host. */
   begin(id: string): void {
     this.of(id).begun += 1;
   }
 
-  /** A request at the host is over. */
+  /** Removes a request that ended at the host; `begun`: its first bytes had arrived. */
   leave(id: string, begun: boolean): void {
     const activity = this.of(id);
     activity.inFlight = Math.max(0, activity.inFlight - 1);
     activity.begun = Math.max(0, activity.begun - Number(begun));
   }
 
-  /** Own requests by host, for hosts that have some. */
+  /** Requests of this entry host in progress, by host, for hosts that have any. */
   loads(): [string, number][] {
     const loads: [string, number][] = [];
     for (const [id, activity] of this.#hosts) {
@@ -107,7 +117,7 @@
     return loads;
   }
 
-  /** Bytes have come from the host: whatever was suspected of it is wrong. */
+  /** Bytes arrived from the host: it is not avoided any longer, and its failure domain is reachable. */
   noteProgress(host: HostEntry): void {
     const activity = this.of(host.id);
     activity.lastProgressAt = monotonicMs();
@@ -115,52 +125,52 @@
     this.reach.noteProgress(host.failureDomain);
   }
 
-  /** The host could not be reached. */
+  /** Records that the host could not be reached. */
   noteUnreachable(host: HostEntry): void {
     this.noteFailure(host.id);
     this.reach.noteUnreachable(host.failureDomain, host.id);
   }
 
-  /** The first event or the answer of a request has come; `kind` as of {@link kindOf}. */
+  /** Records the time to the first event or the answer of a request, in milliseconds, for a kind of request. */
   noteFirst(id: string, ms: number, kind: string): void {
     this.#noteTypical(ms, kind);
     const activity = this.of(id);
-    const before = activity.firstMs ?? ms;
+    const averageMs = activity.firstMs ?? ms;
     const now = monotonicMs();
-    activity.firstMs = before + SMOOTHING * (ms - before);
+    activity.firstMs = averageMs + SMOOTHING * (ms - averageMs);
     activity.firstWeight = 1 + decayedWeight(activity, now);
     activity.firstAt = now;
     activity.consecutiveFailures = 0;
   }
 
-  /** Usual time to the first event of a kind at all hosts, in milliseconds; undefined at first. */
+  /** Typical time to the first event for a kind of request, over all hosts, in milliseconds; undefined until known. */
   typicalFirstMs(kind: string): number | undefined {
     const typical = this.#typical.get(kind);
-    return typical === undefined || typical.count < TYPICAL_LEAST ? undefined : typical.ms;
+    return typical === undefined || typical.count < MIN_TYPICAL_VALUES ? undefined : typical.ms;
   }
 
   #noteTypical(ms: number, kind: string): void {
     const typical = this.#typical.get(kind) ?? { ms, count: 0 };
-    const value = Math.min(ms, TYPICAL_CUT * typical.ms);
-    // An average of all at first, then one of the last twenty.
+    const cappedMs = Math.min(ms, TYPICAL_CAP_FACTOR * typical.ms);
+    // The mean of all values at first; later an exponential average over about the last twenty.
     const weight = Math.max(TYPICAL_SMOOTHING, 1 / (typical.count + 1));
-    const next = { ms: typical.ms + weight * (value - typical.ms), count: typical.count + 1 };
+    const next = { ms: typical.ms + weight * (cappedMs - typical.ms), count: typical.count + 1 };
     this.#typical.set(kind, next);
   }
 
   /**
-   * Moving average of the time to the first event; undefined when it is old or not known. `now` in
-   * monotonic milliseconds: a choice looks at many hosts and reads the clock once.
+   * Moving average of the time to the first event, in milliseconds; undefined where it is too old or not known. The
+   * caller passes `now` (monotonic milliseconds), since a choice among many hosts reads the clock once.
    */
   recentFirstMs(id: string, now: number): number | undefined {
     const activity = this.#hosts.get(id);
-    const isRecent = activity !== undefined && now - activity.firstAt < FIRST_VALID_MS;
+    const isRecent = activity !== undefined && now - activity.firstAt < AVERAGE_VALID_MS;
     return isRecent ? activity.firstMs : undefined;
   }
 
   /**
-   * Expected time to the first event, in milliseconds. A few requests say little of a host, since one
-   * prompt is ten times as long as another: they count against {@link PRIOR_REQUESTS} usual ones.
+   * Expected time to the first event, in milliseconds. A few requests are weak evidence about a host, since one prompt
+   * may be ten times as long as another, so they are averaged with {@link PRIOR_REQUESTS} requests of the typical time.
    */
   expectedFirstMs(id: string, typicalMs: number, now: number): number {
     const activity = this.#hosts.get(id);
@@ -168,26 +178,26 @@
       return typicalMs;
     }
     const weight = decayedWeight(activity, now);
-    const part = weight / (weight + PRIOR_REQUESTS);
-    return typicalMs + part * (activity.firstMs - typicalMs);
+    const measuredShare = weight / (weight + PRIOR_REQUESTS);
+    return typicalMs + measuredShare * (activity.firstMs - typicalMs);
   }
 
-  /** A request failed or stalled at the host: avoid it for a while. */
+  /** A request failed or stalled at the host: new requests avoid it for a while. */
   noteFailure(id: string): void {
     const activity = this.of(id);
     activity.consecutiveFailures += 1;
-    const factor = Math.min(activity.consecutiveFailures, 3);
+    const factor = Math.min(activity.consecutiveFailures, MAX_COOLDOWN_FACTOR);
     activity.avoidUntil = monotonicMs() + FAILURE_COOLDOWN_MS * factor;
   }
 
-  /** An entry host has found that the host's process has ended: avoid it until its entry goes. */
+  /** An entry host found that the host's process has ended: requests avoid the host until its entry is removed. */
   noteEnded(id: string): void {
     this.of(id).avoidUntil = monotonicMs() + ENDED_AVOID_MS;
   }
 
   /**
-   * These hosts are gone, or have started again: what was seen of them says nothing of whoever has their ids next.
-   * Requests that are in progress there end by themselves.
+   * Clears the failures and times of hosts that were removed or have restarted, since they do not apply to the next
+   * process with the same id. Requests in progress there are counted until they end by themselves.
    */
   departed(hosts: readonly HostEntry[]): void {
     for (const { id } of hosts) {
@@ -200,27 +210,28 @@
     }
   }
 
-  /** For how much longer new requests should go elsewhere if they can, in milliseconds. */
+  /** Milliseconds for which new requests should still prefer other hosts; 0: the host is not avoided. */
   avoidedLeftMs(id: string, now: number): number {
     return Math.max(0, (this.#hosts.get(id)?.avoidUntil ?? -Infinity) - now);
   }
 
-  /** True while new requests should go elsewhere if they can; `now` in monotonic milliseconds. */
+  /** True while new requests should prefer other hosts; `now` in monotonic milliseconds. */
   isAvoided(id: string, now: number): boolean {
     return this.avoidedLeftMs(id, now) > 0;
   }
 
-  /** Forgets idle hosts that are not there any more. */
-  forgetExcept(present: (id: string) => boolean): void {
-    const oldest = monotonicMs() - FORGET_MS;
+  /** Deletes the activity of idle hosts that are no longer registered. */
+  forgetExcept(isPresent: (id: string) => boolean): void {
+    const cutoff = monotonicMs() - FORGET_MS;
     for (const [id, activity] of this.#hosts) {
-      if (!present(id) && activity.inFlight === 0 && activity.lastProgressAt < oldest) {
+      if (!isPresent(id) && activity.inFlight === 0 && activity.lastProgressAt < cutoff) {
         this.#hosts.delete(id);
       }
     }
   }
 }
 
+// The number of values behind the average, decayed since its last update.
 function decayedWeight({ firstWeight, firstAt }: HostActivity, now: number): number {
-  return firstWeight * Math.exp(-Math.max(0, now - firstAt) / FIRST_VALID_MS);
+  return firstWeight * Math.exp(-Math.max(0, now - firstAt) / AVERAGE_VALID_MS);
 }
--- a/packages/entry/src/routing/host-notices.ts
+++ b/packages/entry/src/routing/host-notices.ts
@@ -1,11 +1,12 @@
 /**
- * Keeps what hosts have said about themselves, from when the answer was read: that they want no requests for a time,
- * and that they are shutting down.
+ * Keeps the notices that upstream hosts give about themselves with their answers: a backoff (the host wants no requests
+ * for a time), and that the host is leaving (shutting down). A notice takes effect when its answer is read.
  *
- * A host's word binds all requests of this entry host, not only the one that it answered. It is no failure, which
- * the next bytes from the host disprove, and which counts for nothing while all other hosts have failed too. It is kept
- * by start of the host, since a process that starts again has said nothing. A time without requests is asked of one entry
- * host; that a host leaves concerns all, so that whoever hears it tells the others.
+ * A notice applies to all requests of this entry host, not only to the one that was answered. It differs from a
+ * failure, which is cleared by the next bytes from the host and is disregarded while all other hosts have failed too.
+ * Notices are kept by incarnation, since a restarted process has given none. A backoff is meant for the entry host that
+ * received the answer; a leaving host concerns all entry hosts, so the one that receives the notice reports it to its
+ * peers.
  */
 import type { HostIncarnation } from '../hosts/host-entry.js';
 import { StartMemory } from '../hosts/start-memory.js';
@@ -15,48 +16,53 @@
 
 /** Options of {@link HostNotices}. */
 export type HostNoticesOptions = {
-  /** Called when a start of a host says for the first time that it is shutting down. */
+  /** Called at the first notice that an incarnation of a host is leaving. */
   readonly leaves: (host: HostIncarnation) => void;
-  /** Called when other entry hosts should be told that a host is shutting down. */
+  /** Called when a leaving host should be reported to the peers. */
   readonly reported: () => void;
   readonly log: Log;
   readonly counters: Counters;
   readonly gauges: Gauges;
+  /** The clock, in monotonic milliseconds. */
   readonly now: () => number;
   /** Uniform in [0, 1). */
   readonly random?: () => number;
 };
 
 /**
- * Longest time that is believed, in milliseconds: a host that names more is asked again after it. It bounds what a
- * host that names days by mistake costs, and sends one that means it a request of each entry host in ten minutes.
+ * Longest backoff that is applied, in milliseconds; a host that asks for more receives a request again after it. It
+ * limits the cost of a host that asks for days by mistake. A host that does mean such a time receives one request from
+ * each entry host in ten minutes.
  */
 export const MOST_BACKOFF_MS = 600_000;
 /**
- * Greatest part by which a time is made longer at random, 0 to 1, and greatest addition in milliseconds: entry hosts
- * that were rejected at the same moment must not all come back at the same moment. Half a second spreads a hundred
- * of them over some ten round trips.
+ * Greatest random extension of a backoff, as a part of it (0 to 1): entry hosts that were rejected at the same moment
+ * must not all send again at the same moment.
  */
 export const SPREAD_PART = 0.1;
+/**
+ * Greatest random extension of a backoff, in milliseconds. Half a second spreads a hundred entry hosts over some ten
+ * round trips.
+ */
 export const MOST_SPREAD_MS = 500;
-/** Time for which a leaving host is told to entry hosts that come into reach, in milliseconds; most have ended by then. */
-const LEAVING_TOLD_MS = 600_000;
+/** Time for which a leaving host is reported to newly reachable peers, in ms; most such hosts have ended by then. */
+const LEAVING_REPORT_MS = 600_000;
 
-/** A host that is shutting down; times in monotonic milliseconds. */
+/** A host that is shutting down. */
 type LeavingHost = {
   readonly host: HostIncarnation;
-  /** When this entry host learned of it. */
+  /** When this entry host received the notice, in monotonic milliseconds. */
   readonly since: number;
-  /** Its number among those that this entry host knows. */
+  /** Number of the notice; this entry host numbers those of leaving hosts from 1. */
   readonly sequence: number;
 };
 
-/** What hosts have said, by start of the host; times in monotonic milliseconds. */
+/** The notices of upstream hosts, by incarnation; times in monotonic milliseconds. */
 export class HostNotices {
   readonly #options: HostNoticesOptions;
   /**
-   * Until when hosts want no requests. By the steady clock: it does not advance while the machine is suspended, so that
-   * requests may be withheld for longer than was asked, but never for less, as by a time of day that is set.
+   * Ends of the backoffs. The monotonic clock does not advance while the machine is suspended, so requests may be
+   * withheld for longer than the host asked, but never for less, which could happen when a wall clock is set.
    */
   readonly #backoffs = new StartMemory<number>();
   readonly #leaving = new StartMemory<LeavingHost>();
@@ -67,45 +73,47 @@
     options.gauges.follow('hosts_backing_off', () => [{ labels: {}, value: this.backingOff }]);
   }
 
-  /** Hosts that want no requests now. */
+  /** Number of hosts whose backoff has not ended. */
   get backingOff(): number {
     const now = this.#options.now();
     return this.#backoffs.values.filter(until => until > now).length;
   }
 
-  /** A host has said something with an answer. */
+  /** Applies the notice that was read from an answer of the host. */
   hear(host: HostIncarnation, notice: HostNotice): void {
     if (notice.backoffMs > 0) {
-      this.#hearBackoff(host, notice.backoffMs);
+      this.#addBackoff(host, notice.backoffMs);
     }
     if (notice.isLeaving) {
-      this.#hearLeaving(host, 'own-answer');
+      this.#addLeaving(host, 'own-answer');
     }
   }
 
-  /** Other entry hosts have told that hosts are shutting down. */
+  /** Applies reports from peers of hosts that are shutting down. */
   readonly takeLeaving = (hosts: readonly HostIncarnation[]): void => {
     hosts.forEach(host => {
-      this.#hearLeaving(host, 'other-entry-host');
+      this.#addLeaving(host, 'other-entry-host');
     });
   };
 
-  /** Number of the last host that has said that it is shutting down. */
+  /** Number of the newest notice of a leaving host; 0: there is none. */
   get sequence(): number {
     return this.#sequence;
   }
 
-  /** Those after a number that other entry hosts should know; all, if the number is not reached yet. */
+  /** Leaving hosts to report to a peer: those after a number, or all where that number has not been given out here. */
   since(sequence: number): readonly HostIncarnation[] {
-    const after = sequence > this.#sequence ? 0 : sequence;
-    const from = this.#options.now() - LEAVING_TOLD_MS;
-    const told = this.#leaving.values.filter(one => one.sequence > after && one.since >= from);
-    return told.map(({ host }) => host);
+    const afterNumber = sequence > this.#sequence ? 0 : sequence;
+    const oldestAt = this.#options.now() - LEAVING_REPORT_MS;
+    const reportable = this.#leaving.values.filter(
+      one => one.sequence > afterNumber && one.since >= oldestAt,
+    );
+    return reportable.map(({ host }) => host);
   }
 
-  /** For how much longer the host wants no requests, in milliseconds; 0: it takes them. */
+  /** Milliseconds until the backoff of the host ends; 0: it has none. */
   backoffLeftMs(host: HostIncarnation, now: number): number {
-    // Asked of each target for each request, and nearly always there is none.
+    // A shortcut: this runs for each target of each request, and there is nearly always no backoff.
     if (this.#backoffs.size === 0) {
       return 0;
     }
@@ -113,24 +121,25 @@
     return Math.max(0, until - now);
   }
 
-  // Times overlap: the latest end holds, also when a later answer names an earlier one or serves its request.
-  #hearBackoff(host: HostIncarnation, askedMs: number): void {
+  // Backoffs overlap: the latest end applies, also when a later answer asks for an earlier one or serves its request.
+  #addBackoff(host: HostIncarnation, askedMs: number): void {
     const { log, counters, now, random = Math.random } = this.#options;
-    const heardAt = now();
-    const leftMs = this.backoffLeftMs(host, heardAt);
-    const forMs = Math.min(askedMs, MOST_BACKOFF_MS);
-    const until = heardAt + forMs + random() * Math.min(forMs * SPREAD_PART, MOST_SPREAD_MS);
+    const receivedAt = now();
+    const leftMs = this.backoffLeftMs(host, receivedAt);
+    const backoffMs = Math.min(askedMs, MOST_BACKOFF_MS);
+    const until =
+      receivedAt + backoffMs + random() * Math.min(backoffMs * SPREAD_PART, MOST_SPREAD_MS);
     counters.count('host_backoffs_total', { repeated: String(leftMs > 0) });
     if (leftMs === 0) {
-      log.info('host asks for no requests', { host: host.id, forMs: Math.round(askedMs) });
+      log.info('host requested a backoff', { host: host.id, forMs: Math.round(askedMs) });
     }
-    if (until > heardAt + leftMs) {
-      this.#backoffs.forget(end => end <= heardAt);
+    if (until > receivedAt + leftMs) {
+      this.#backoffs.forget(end => end <= receivedAt);
       this.#backoffs.set(host, until);
     }
   }
 
-  #hearLeaving({ id, startedAt }: HostIncarnation, source: WordSource): void {
+  #addLeaving({ id, startedAt }: HostIncarnation, source: WordSource): void {
     const host = { id, startedAt };
     if (this.#leaving.has(host)) {
       return;
@@ -139,7 +148,7 @@
     this.#sequence += 1;
     this.#leaving.set(host, { host, since: now(), sequence: this.#sequence });
     counters.count('hosts_leaving_total');
-    log.info('host says that it is leaving', { host: id, source });
+    log.info('host is leaving', { host: id, source });
     leaves(host);
     reported();
   }
--- a/packages/entry/src/routing/host-subset.test.ts
+++ b/packages/entry/src/routing/host-subset.test.ts
@@ -1,9 +1,10 @@
-/** Balance and stability of the subsets of all entry hosts together. */
+/** Tests the balance and the stability of the subsets of all entry hosts together. */
 import { expect } from 'chai';
 import fc from 'fast-check';
 
 import { HostSubset } from './host-subset.js';
 
+/** Entry hosts, targets, and the size of each subset. */
 type Case = { members: string[]; targets: string[]; size: number };
 
 const anyName = fc.string({ minLength: 1, maxLength: 12 });
@@ -19,6 +20,7 @@
     size: Math.min(size, targets.length),
   }));
 
+/** The targets in the subset of each member. */
 type Subsets = ReadonlyMap<string, ReadonlySet<string>>;
 
 function subsetsOf({ members, targets, size }: Case): Subsets {
@@ -33,68 +35,68 @@
   return Math.max(...targets.map(usesOf));
 }
 
-// Number of places in all subsets that hold another target than before.
-function moved(before: Subsets, after: Subsets): number {
+// Number of places in all subsets that have a different target than before.
+function changedPlaces(before: Subsets, after: Subsets): number {
   let count = 0;
   for (const [member, subset] of after) {
-    const held = before.get(member) ?? subset;
-    count += [...subset].filter(target => !held.has(target)).length;
+    const previous = before.get(member) ?? subset;
+    count += [...subset].filter(target => !previous.has(target)).length;
   }
   return count;
 }
 
 describe('the order of targets at an entry host', () => {
-  it('has each target once, also for a host that is not registered', () => {
+  it('contains each target once, also for an entry host that is not registered', () => {
     fc.assert(
-      fc.property(anyCase, fc.boolean(), ({ members, targets }, isAlone) => {
-        const order = new HostSubset('newcomer', isAlone ? [] : members).order(targets);
+      fc.property(anyCase, fc.boolean(), ({ members, targets }, hasNoMembers) => {
+        const order = new HostSubset('newcomer', hasNoMembers ? [] : members).order(targets);
         expect([...order].sort()).to.deep.equal([...targets].sort());
       }),
     );
   });
 
-  it('does not depend on the order in which members and targets are told', () => {
+  it('does not depend on the order in which members and targets are listed', () => {
     fc.assert(
       fc.property(anyCase, ({ members, targets }) => {
         const [self = ''] = members;
-        const told = new HostSubset(self, members).order(targets);
-        const other = new HostSubset(self, [...members].reverse()).order([...targets].reverse());
-        expect(other).to.deep.equal(told);
+        const order = new HostSubset(self, members).order(targets);
+        const reversed = new HostSubset(self, [...members].reverse()).order([...targets].reverse());
+        expect(reversed).to.deep.equal(order);
       }),
     );
   });
 
-  it('puts each target into about equally many subsets, with many hosts and with few', () => {
+  it('puts each target into about equally many subsets, with many entry hosts and with few', () => {
     fc.assert(
-      fc.property(anyCase, one => {
-        const mean = (one.members.length * one.size) / one.targets.length;
-        // A member that already has every target that is not full takes a full one: one use more.
-        const most = Math.ceil(mean * 1.1) + 1;
-        expect(mostUses(subsetsOf(one), one.targets)).to.be.at.most(most);
+      fc.property(anyCase, subsetCase => {
+        const mean = (subsetCase.members.length * subsetCase.size) / subsetCase.targets.length;
+        // A member that has already picked every target that is not full takes a full one: one use more.
+        const limit = Math.ceil(mean * 1.1) + 1;
+        expect(mostUses(subsetsOf(subsetCase), subsetCase.targets)).to.be.at.most(limit);
       }),
       { numRuns: 60 },
     );
   });
 
-  it('changes few subsets when a target or a member goes', () => {
-    const many = fc.record({
+  it('changes few subsets when a target or a member is removed', () => {
+    const largeCase = fc.record({
       seed: fc.integer({ min: 0, max: 1_000_000 }),
       members: fc.integer({ min: 60, max: 140 }),
       targets: fc.integer({ min: 15, max: 40 }),
     });
     fc.assert(
-      fc.property(many, ({ seed, members: memberCount, targets: targetCount }) => {
+      fc.property(largeCase, ({ seed, members: memberCount, targets: targetCount }) => {
         const members = Array.from({ length: memberCount }, (_, index) => `entry-${index}`);
         const targets = Array.from({ length: targetCount }, (_, index) => `i-${seed + index}`);
         const before = subsetsOf({ members, targets, size: 3 });
         const places = memberCount * 3;
-        const lessTargets = { members, targets: targets.slice(1), size: 3 };
-        const held = [...before.values()].filter(subset => subset.has(targets[0] ?? '')).length;
-        expect(moved(before, subsetsOf(lessTargets))).to.be.at.most(held + 0.1 * places);
-        const lessMembers = { members: members.slice(1), targets, size: 3 };
-        expect(moved(before, subsetsOf(lessMembers))).to.be.at.most(0.1 * places);
+        const fewerTargets = { members, targets: targets.slice(1), size: 3 };
+        const uses = [...before.values()].filter(subset => subset.has(targets[0] ?? '')).length;
+        expect(changedPlaces(before, subsetsOf(fewerTargets))).to.be.at.most(uses + 0.1 * places);
+        const fewerMembers = { members: members.slice(1), targets, size: 3 };
+        expect(changedPlaces(before, subsetsOf(fewerMembers))).to.be.at.most(0.1 * places);
       }),
-      // The example moved 30 places in place of at most 25: hosts pushed out of a full target pushed others on.
+      // In the example, 30 places changed instead of at most 25: members displaced from a full target displaced others.
       { numRuns: 6, examples: [[{ seed: 0, members: 65, targets: 36 }]] },
     );
   });
--- a/packages/entry/src/routing/rendezvous.test.ts
+++ b/packages/entry/src/routing/rendezvous.test.ts
@@ -3,7 +3,7 @@
 import { isAmongTop, rendezvousWeight, topMembers } from './rendezvous.js';
 
 const names = (prefix: string, count: number): readonly string[] =>
-  Array.from({ length: count }, (_, at) => `${prefix}${at}`);
+  Array.from({ length: count }, (_, index) => `${prefix}${index}`);
 
 describe('rendezvous hashing', () => {
   it('gives the same weights in every process', () => {
@@ -22,21 +22,21 @@
     }
   });
 
-  it('spreads keys evenly over members with like names', () => {
+  it('spreads keys evenly over members with similar names', () => {
     const members = names('entry-', 100);
-    const taken = new Map<string, number>();
+    const keyCounts = new Map<string, number>();
     for (const key of names('host-', 10_000)) {
       for (const member of topMembers(members, key, 3)) {
-        taken.set(member, (taken.get(member) ?? 0) + 1);
+        keyCounts.set(member, (keyCounts.get(member) ?? 0) + 1);
       }
     }
     // Mean 300, standard deviation 17: within five standard deviations.
     for (const member of members) {
-      expect(taken.get(member) ?? 0, member).to.be.within(215, 385);
+      expect(keyCounts.get(member) ?? 0, member).to.be.within(215, 385);
     }
   });
 
-  it('moves a key only to or from the member that came or went', () => {
+  it('moves a key only to or from the member that was added or removed', () => {
     const members = names('entry-', 40);
     const without = members.filter(member => member !== 'entry-7');
     for (const key of names('host-', 200)) {
@@ -47,7 +47,7 @@
     }
   });
 
-  it('tells of one member what the order of all tells', () => {
+  it('agrees for a single member with the order of all members', () => {
     const members = names('entry-', 30);
     for (const key of names('host-', 50)) {
       const top = members.filter(member => isAmongTop(member, members, key, 5));
@@ -57,7 +57,7 @@
     expect(isAmongTop('entry-1', [], 'key', 0)).to.equal(false);
   });
 
-  it('gives all members where there are fewer than asked for', () => {
+  it('returns all members where there are fewer than asked for', () => {
     expect(topMembers(['b', 'a'], 'key', 3)).to.have.members(['a', 'b']);
     expect(topMembers([], 'key', 3)).to.deep.equal([]);
   });
--- a/packages/entry/src/routing/rendezvous.ts
+++ b/packages/entry/src/routing/rendezvous.ts
@@ -1,24 +1,28 @@
 /**
- * Rendezvous hashing: assigns keys to members alike on every entry host, without any messages. When a
- * member comes or goes, only its own keys move. Pure.
+ * Rendezvous hashing: assigns keys to members in the same way on every entry host, without any messages. When a member
+ * is added or removed, only its own keys move. Pure.
  */
 
+/** Offset basis and prime of the 32-bit FNV-1a hash. */
 const FNV_OFFSET = 0x811c9dc5;
 const FNV_PRIME = 0x01000193;
 /** Code unit between member and key; neither contains it. */
 const SEPARATOR = 0;
+/** Multipliers of the finalizer of MurmurHash3 (32 bits). */
+const MURMUR_FIRST_FACTOR = 0x85ebca6b;
+const MURMUR_SECOND_FACTOR = 0xc2b2ae35;
 
 /**
- * Weight of a member for a key, 0 to 2^32 - 1: FNV-1a over the UTF-16 units of both, mixed at the end.
- * Without the mixing, names that differ only in their last digit would get similar weights, and one of
- * them would win too often.
+ * Weight of a member for a key, 0 to 2^32 - 1: FNV-1a over the UTF-16 units of both, followed by a finalizer. Without
+ * the finalizer, names that differ only in their last digit would get similar weights, and one of them would have the
+ * greatest weight too often.
  */
 export function rendezvousWeight(member: string, key: string): number {
-  const ofMember = step(hashOf(FNV_OFFSET, member), SEPARATOR);
-  return mixed(hashOf(ofMember, key));
+  const ofMember = fnvStep(fnvHash(FNV_OFFSET, member), SEPARATOR);
+  return finalized(fnvHash(ofMember, key));
 }
 
-/** The members with the greatest weights for a key, greatest first; all of them where there are fewer. */
+/** The `count` members with the greatest weights for a key, greatest first; all members if there are fewer. */
 export function topMembers(
   members: readonly string[],
   key: string,
@@ -32,8 +36,8 @@
 }
 
 /**
- * True when fewer than `count` of the other members have a greater weight for the key. The same as being
- * among {@link topMembers}, but without a sort, and also for a member that is not in the list.
+ * True when fewer than `count` of the other members have a greater weight for the key. Equivalent to being among
+ * {@link topMembers}, but needs no sort and also works for a member that is not in the list.
  */
 export function isAmongTop(
   member: string,
@@ -41,30 +45,30 @@
   key: string,
   count: number,
 ): boolean {
-  const own = rendezvousWeight(member, key);
-  let ahead = 0;
+  const ownWeight = rendezvousWeight(member, key);
+  let aheadCount = 0;
   for (const other of members) {
-    ahead += Number(isAhead(other, rendezvousWeight(other, key), member, own));
-    if (ahead >= count) {
+    aheadCount += Number(isAhead(other, rendezvousWeight(other, key), member, ownWeight));
+    if (aheadCount >= count) {
       return false;
     }
   }
   return count > 0;
 }
 
-/** Some members that take turns for a key with the others. */
+/** A turn for a key: the members take turns in sets of equal size. */
 export type MemberTurn = {
-  /** Members of a turn. */
+  /** Number of members in a turn. */
   readonly size: number;
   /** Number of the turn, from 0. */
   readonly turn: number;
-  /** True where only the first member of the turn is asked for. */
+  /** True: only the first member of the turn counts. */
   readonly firstOnly: boolean;
 };
 
 /**
- * True for the members whose turn it is, by their places in the order for the key; also for one that is not in the
- * list. Behind the last place the turns begin anew, one place later each time, so that each member is first once.
+ * True for a member whose turn it is, by its place in the order of weights for the key; the member need not be in the
+ * list. After the last place the turns start over, one place later each time, so that each member is first once.
  */
 export function isInTurn(
   member: string,
@@ -76,37 +80,41 @@
   if (count === 0 || size === 0) {
     return false;
   }
-  const behind = turn * size;
-  const start = (behind + Math.floor(behind / count)) % count;
-  const offset = (membersAhead(member, members, key) - start + count) % count;
+  const placesBefore = turn * size;
+  const start = (placesBefore + Math.floor(placesBefore / count)) % count;
+  const offset = (placeOf(member, members, key) - start + count) % count;
   return offset < (firstOnly ? 1 : size);
 }
 
-function membersAhead(member: string, members: readonly string[], key: string): number {
-  const own = rendezvousWeight(member, key);
-  return members.filter(other => isAhead(other, rendezvousWeight(other, key), member, own)).length;
+// The place of the member in the order of weights for the key, from 0.
+function placeOf(member: string, members: readonly string[], key: string): number {
+  const ownWeight = rendezvousWeight(member, key);
+  return members.filter(other => isAhead(other, rendezvousWeight(other, key), member, ownWeight))
+    .length;
 }
 
-function isAhead(other: string, weight: number, member: string, own: number): boolean {
-  return weight > own || (weight === own && other < member);
+// True when the other member has the greater weight; equal weights are ordered by name.
+function isAhead(other: string, weight: number, member: string, ownWeight: number): boolean {
+  return weight > ownWeight || (weight === ownWeight && other < member);
 }
 
-function hashOf(start: number, text: string): number {
+// Continues an FNV-1a hash with the UTF-16 units of a text.
+function fnvHash(start: number, text: string): number {
   let hash = start;
-  for (let at = 0; at < text.length; at += 1) {
-    hash = step(hash, text.charCodeAt(at));
+  for (let index = 0; index < text.length; index += 1) {
+    hash = fnvStep(hash, text.charCodeAt(index));
   }
   return hash;
 }
 
-function step(hash: number, unit: number): number {
-  return Math.imul(hash ^ unit, FNV_PRIME);
+function fnvStep(hash: number, codeUnit: number): number {
+  return Math.imul(hash ^ codeUnit, FNV_PRIME);
 }
 
-// The finalizer of MurmurHash3 (32 bits): each bit of the hash reaches each bit of the weight.
-function mixed(hash: number): number {
+// The finalizer of MurmurHash3 (32 bits): each bit of the hash affects each bit of the weight.
+function finalized(hash: number): number {
   let bits = hash ^ (hash >>> 16);
-  bits = Math.imul(bits, 0x85ebca6b);
-  bits = Math.imul(bits ^ (bits >>> 13), 0xc2b2ae35);
+  bits = Math.imul(bits, MURMUR_FIRST_FACTOR);
+  bits = Math.imul(bits ^ (bits >>> 13), MURMUR_SECOND_FACTOR);
   return (bits ^ (bits >>> 16)) >>> 0;
 }
--- a/packages/entry/src/routing/subset-choice.ts
+++ b/packages/entry/src/routing/subset-choice.ts
@@ -1,30 +1,30 @@
 /**
- * The subset of targets that an entry host prefers: the first ones of its order (`host-subset.ts`), as many
- * as its requests can keep connections open to, and a few at least.
+ * Chooses the subset of targets that an entry host prefers: the first ones of its ranking of targets, as many
+ * as its requests can keep connections open to, and at least a few.
  */
 import type { HostEntry } from '../hosts/host-entry.js';
 import type { Counters } from '../server/metrics.js';
 import { HostSubset } from './host-subset.js';
 
-/** The registered entry hosts. */
+/** The list of registered entry hosts. */
 export type SubsetMembers = {
-  /** Their names; a new array after each change, empty while none is known. */
+  /** Their names: a new array after each change, and empty while none is known. */
   readonly names: readonly string[];
 };
 
-/** Connections that this entry host keeps to upstream hosts. */
+/** The idle connections that this entry host keeps to upstream hosts. */
 export type KeptConnections = {
-  /** Time for which idle ones to hosts of the service are kept, in milliseconds. */
+  /** Time for which an idle connection to a host of the service is kept, in milliseconds. */
   readonly idleMs: (service: string) => number;
-  /** True while an idle one to the host is kept. */
+  /** True while an idle connection to the host is kept. */
   readonly isConnected: (host: HostEntry) => boolean;
 };
 
-/** Options of the subsets. */
+/** Options of {@link SubsetChoice}. */
 export type SubsetOptions = {
   /** Name of this entry host. */
   readonly self: string;
-  /** Undefined where entry hosts have no peers: then the subset is all targets. */
+  /** Undefined where the entry host has no peers: then the subset consists of all targets. */
   readonly membership: SubsetMembers | undefined;
   readonly connections: KeptConnections;
   readonly counters: Counters;
@@ -33,35 +33,37 @@
 /** Whether a target was chosen from the subset or from the other targets. */
 export type ChoicePlace = 'subset' | 'outside';
 
-/** What a subset is kept for: a service, and the model that its requests name. */
+/** Identifies a subset: a service, and the model that its requests name. */
 export type SubsetKey = { readonly service: string; readonly model: string | undefined };
 
 /**
- * Least number of targets in a subset: the chooser compares the loads of several, and a request that was
- * lost or rejected needs others to go to.
+ * Minimum number of targets in a subset: the chooser compares the loads of several, and a request that was lost or
+ * rejected needs other targets.
  */
-const LEAST_TARGETS = 3;
+const MIN_TARGETS = 3;
 /**
- * Least number of subsets that each target is in, on average: where entry hosts are few, one that ends or
- * has no requests must not leave targets unused.
+ * Minimum mean number of subsets that a target is in: where there are few entry hosts, one that ends or has no requests
+ * must not leave targets unused.
  */
-const LEAST_SUBSETS = 3;
+const MIN_SUBSETS_PER_TARGET = 3;
 /**
- * Requests that each target of the subset should get, on average, within the time for which an idle
- * connection is kept: then about one pause in fifty (e^-4) is so long that the connection is closed.
+ * Mean number of requests that each target of the subset should receive within the time for which an idle connection is
+ * kept: at 4, about one pause in fifty (e^-4) is so long that the connection is closed.
  */
 const REQUESTS_PER_IDLE_TIME = 4;
 /** Time in which the weight of a request in the rate falls to 1/e, in milliseconds. */
 const RATE_DECAY_MS = 8_000;
 
+/** Decayed number of requests, as of a time in monotonic milliseconds. */
 type Rate = { sum: number; at: number };
-type Order = { readonly targets: string; readonly ranks: ReadonlyMap<string, number> };
+/** A cached ranking, and the host ids (joined by spaces) that it was computed for. */
+type CachedRanks = { readonly targets: string; readonly ranks: ReadonlyMap<string, number> };
 
-/** The subsets of one entry host. */
+/** The preferred subsets of one entry host, by service and model. */
 export class SubsetChoice {
   readonly #options: SubsetOptions;
   readonly #rates = new Map<string, Rate>();
-  readonly #orders = new Map<string, Order>();
+  readonly #cachedRanks = new Map<string, CachedRanks>();
   #members: readonly string[] | undefined;
   #subset: HostSubset;
 
@@ -72,48 +74,48 @@
 
   /** Counts a request at its first attempt; `now` in monotonic milliseconds. */
   noteRequest(key: SubsetKey, now: number): void {
-    const name = nameOf(key);
-    const rate = this.#rates.get(name);
-    const sum = rate === undefined ? 0 : decayed(rate, now);
-    this.#rates.set(name, { sum: sum + 1, at: now });
+    const id = subsetId(key);
+    const rate = this.#rates.get(id);
+    const sum = rate === undefined ? 0 : decayedSum(rate, now);
+    this.#rates.set(id, { sum: sum + 1, at: now });
   }
 
-  /** Counts a choice from more targets than the subset of `size` has. */
+  /** Counts a choice among more targets than the subset has; `size` is that of the subset. */
   noteChoice(place: ChoicePlace, size: number): void {
     const { counters } = this.#options;
     counters.count('subset_choices_total', { place });
     counters.count('subset_targets_total', {}, size);
   }
 
-  /** Size of the subset where there are `count` targets; `now` in monotonic milliseconds. */
+  /** Size of the subset when there are `count` targets; `now` in monotonic milliseconds. */
   sizeOf(key: SubsetKey, count: number, now: number): number {
     const { membership, connections } = this.#options;
     if (membership === undefined) {
       return count;
     }
-    const rate = this.#rates.get(nameOf(key));
-    const perMs = rate === undefined ? 0 : decayed(rate, now) / RATE_DECAY_MS;
+    const rate = this.#rates.get(subsetId(key));
+    const perMs = rate === undefined ? 0 : decayedSum(rate, now) / RATE_DECAY_MS;
     const perIdleTime = perMs * connections.idleMs(key.service);
-    const wanted = Math.max(
-      LEAST_TARGETS,
-      Math.ceil((LEAST_SUBSETS * count) / Math.max(1, membership.names.length)),
+    const preferredSize = Math.max(
+      MIN_TARGETS,
+      Math.ceil((MIN_SUBSETS_PER_TARGET * count) / Math.max(1, membership.names.length)),
       Math.floor(perIdleTime / REQUESTS_PER_IDLE_TIME),
     );
-    return Math.min(count, wanted);
+    return Math.min(count, preferredSize);
   }
 
-  /** Rank of each of the hosts in the order, 0 for the one that is preferred. */
+  /** Rank of each of the hosts at this entry host, 0 for the most preferred one. */
   ranksOf(key: SubsetKey, hostIds: readonly string[]): ReadonlyMap<string, number> {
-    this.#followMembers();
-    const name = nameOf(key);
+    this.#refreshMembers();
+    const id = subsetId(key);
     const targets = hostIds.join(' ');
-    let order = this.#orders.get(name);
-    if (order?.targets !== targets) {
+    let cached = this.#cachedRanks.get(id);
+    if (cached?.targets !== targets) {
       const ranked = this.#subset.order(hostIds);
-      order = { targets, ranks: new Map(ranked.map((id, rank) => [id, rank])) };
-      this.#orders.set(name, order);
+      cached = { targets, ranks: new Map(ranked.map((hostId, rank) => [hostId, rank])) };
+      this.#cachedRanks.set(id, cached);
     }
-    return order.ranks;
+    return cached.ranks;
   }
 
   /** True while an idle connection to the host is kept. */
@@ -121,21 +123,23 @@
     return this.#options.connections.isConnected(host);
   }
 
-  #followMembers(): void {
+  // Discards the rankings when the list of entry hosts has changed.
+  #refreshMembers(): void {
     const { self, membership } = this.#options;
     const members = membership?.names ?? [];
     if (this.#members !== members) {
       this.#members = members;
       this.#subset = new HostSubset(self, members);
-      this.#orders.clear();
+      this.#cachedRanks.clear();
     }
   }
 }
 
-function nameOf({ service, model }: SubsetKey): string {
+function subsetId({ service, model }: SubsetKey): string {
   return `${service}/${model ?? ''}`;
 }
 
-function decayed(rate: Rate, now: number): number {
+// The number of requests, with the weight that they have left now.
+function decayedSum(rate: Rate, now: number): number {
   return rate.sum * Math.exp(-(now - rate.at) / RATE_DECAY_MS);
 }
--- a/packages/entry/src/slow-start/cold-days.test.ts
+++ b/packages/entry/src/slow-start/cold-days.test.ts
@@ -12,7 +12,8 @@
   mostPerWindow,
 });
 const TYPICAL: RateLimit = limitOf(14, 26);
-const CALM: ColdDay = {
+/** A simulated minute without joins, restarts or other faults. */
+const FAULTLESS: ColdDay = {
   members: 90,
   coldHosts: 3,
   joins: [],
@@ -22,21 +23,21 @@
   demand: 'pressing',
 };
 
-const time = fc.integer({ min: 0, max: DAY_MS });
-const restart = fc.record({ atMs: time, part: fc.double({ min: 0.01, max: 1, noNaN: true }) });
-// All processes restart together, and again right after their start, as after a power failure.
+const timeMs = fc.integer({ min: 0, max: DAY_MS });
+const restart = fc.record({ atMs: timeMs, part: fc.double({ min: 0.01, max: 1, noNaN: true }) });
+// The second variant: all processes restart together, and again right after their start, as after a power failure.
 const restarts = fc.oneof(
   fc.array(restart, { maxLength: 6 }),
   fc
     .array(fc.integer({ min: 20_000, max: 22_500 }), { minLength: 2, maxLength: 6 })
-    .map(times => times.map(atMs => ({ atMs, part: 1 }))),
+    .map(restartTimes => restartTimes.map(atMs => ({ atMs, part: 1 }))),
 );
 
-function days(lag: number): fc.Arbitrary<ColdDay> {
+function days(maxJoins: number): fc.Arbitrary<ColdDay> {
   return fc.record({
     members: fc.oneof(fc.integer({ min: 5, max: 30 }), fc.integer({ min: 5, max: 300 })),
     coldHosts: fc.integer({ min: 1, max: 4 }),
-    joins: fc.array(time, { maxLength: lag }),
+    joins: fc.array(timeMs, { maxLength: maxJoins }),
     lagMs: fc.integer({ min: 0, max: 20_000 }),
     cutOff: fc.constantFrom(0, 0.1, 0.5, 0.9),
     restarts,
@@ -48,17 +49,20 @@
   return day => playColdDay(day, limit, way).mostInSecond <= limit.mostPerWindow;
 }
 
-/** Whether the way breaks the bound on some day, among as many as it has to hold on. */
-function breaks(way: ColdWay): boolean {
+/**
+ * True when a way of dividing the rate exceeds the bound in some simulated minute, among as many as the product's own
+ * way has to pass.
+ */
+function exceedsBound(way: ColdWay): boolean {
   return fc.check(fc.property(days(TOLERATED_LAG), isWithin(TYPICAL, way)), { numRuns: 60 }).failed;
 }
 
 describe('cold hosts over a minute', () => {
-  it('never get more than their bound in any second, whoever lags, restarts or is cut off', () => {
+  it('never receive more than their bound in any second, despite lag, restarts and cut-off entry hosts', () => {
     fc.assert(fc.property(days(TOLERATED_LAG), isWithin(TYPICAL, ownersWay())), { numRuns: 60 });
   });
 
-  it('never do for other figures either', () => {
+  it('never exceed other bounds either', () => {
     const limits = fc.constantFrom(
       limitOf(3, 3),
       limitOf(2, 3),
@@ -66,38 +70,38 @@
       limitOf(14, 14),
       limitOf(0.5, 5),
     );
-    const anything = fc.tuple(limits, days(2));
+    const limitAndDay = fc.tuple(limits, days(2));
     fc.assert(
-      fc.property(anything, ([limit, day]) => isWithin(limit, ownersWay())(day)),
+      fc.property(limitAndDay, ([limit, day]) => isWithin(limit, ownersWay())(day)),
       { numRuns: 60 },
     );
   });
 
   for (const members of [5, 6, 9, 13, 30, 90, 300]) {
-    it(`get most of their rate from ${members} entry hosts that agree and have enough to send`, () => {
-      const { leastRate } = playColdDay({ ...CALM, members }, TYPICAL, ownersWay());
+    it(`receive most of their rate from ${members} entry hosts that agree and have enough to send`, () => {
+      const { leastRate } = playColdDay({ ...FAULTLESS, members }, TYPICAL, ownersWay());
       // Less than the rate, since the first interval and `MEMBERS_SETTLE_MS` are part of the minute.
       expect(leastRate).to.be.at.least(0.8 * 14 * ((DAY_MS - 3_000) / DAY_MS));
     });
   }
 
-  it('would get too much if an allowance were full at a start', () => {
-    expect(breaks(ownersWay(true))).to.equal(true);
+  it('would receive too much if an allowance were full at the start of a process', () => {
+    expect(exceedsBound(ownersWay(true))).to.equal(true);
   });
 
-  it('would get too much if each entry host had an equal part: all may send at the same moment', () => {
-    expect(breaks(EQUAL_PARTS)).to.equal(true);
-    const { mostInSecond } = playColdDay({ ...CALM, demand: 'bursts' }, TYPICAL, EQUAL_PARTS);
+  it('would receive too much if each entry host had an equal share: all may send at the same moment', () => {
+    expect(exceedsBound(EQUAL_PARTS)).to.equal(true);
+    const { mostInSecond } = playColdDay({ ...FAULTLESS, demand: 'bursts' }, TYPICAL, EQUAL_PARTS);
     expect(mostInSecond).to.equal(90);
   });
 
-  it('get no more than the bound from three owners, while at most three members are not known', () => {
+  it('receive no more than the bound from three owners, while at most three members are not known', () => {
     const way = fixedOwners(3, 4);
-    const joins = Array.from({ length: 3 }, (_, at) => at);
+    const joins = Array.from({ length: 3 }, (_, index) => index);
     fc.assert(
       fc.property(days(3), day => isWithin(TYPICAL, way)({ ...day, restarts: [] })),
       { numRuns: 60 },
     );
-    expect(playColdDay({ ...CALM, joins }, TYPICAL, way).leastRate).to.be.within(10, 12);
+    expect(playColdDay({ ...FAULTLESS, joins }, TYPICAL, way).leastRate).to.be.within(10, 12);
   });
 });
--- a/packages/entry/src/slow-start/cold-hosts.test.ts
+++ b/packages/entry/src/slow-start/cold-hosts.test.ts
@@ -9,6 +9,7 @@
 
 const COLD_MS = 3_000;
 const HEARTBEAT_MS = 1_200;
+/** Time for which a host counts as cold whose entry does not say so, in milliseconds. */
 const ASSUMED_MS = COLD_MS + HEARTBEAT_MS;
 
 describe('cold hosts', () => {
@@ -28,14 +29,15 @@
     return { entry, revision, standing };
   }
 
-  function linesOf(lines: string[]): Log {
+  // A log that keeps its lines of level info.
+  function logTo(lines: string[]): Log {
     const info = (message: string, fields?: object): void => {
       lines.push(`${message} ${JSON.stringify(fields)}`);
     };
     return { ...silentLog(), info };
   }
 
-  it('are cold for as long as their entry says, from when it came', () => {
+  it('are cold for as long as their entry says, from when it was received', () => {
     const hosts = coldHosts();
     const host = testHost('x', { coldLeftMs: 2_000 });
     hosts.take({ taken: [taken(host, 'new')], departed: [] }, 100);
@@ -45,7 +47,7 @@
     expect(hosts.count(2_100)).to.equal(0);
   });
 
-  it('follow each later entry, also one by which a warm host is cold again', () => {
+  it('follow each later entry, also one that makes a warm host cold again', () => {
     const hosts = coldHosts();
     const host = testHost('x', { coldLeftMs: 3_000 });
     hosts.take({ taken: [taken(host, 'new')], departed: [] }, 0);
@@ -60,16 +62,16 @@
     expect(hosts.spellOf(again, 9_500)).to.deep.equal({ since: 9_000, until: 10_000 });
   });
 
-  it('are none in a fleet that stands at the start, nor where hosts come and go one by one', () => {
+  it('are none among the hosts of the first list, nor where hosts are added and removed one by one', () => {
     const hosts = coldHosts();
-    const fleet = ['a', 'b', 'c'].map(id => testHost(id));
-    hosts.take({ taken: fleet.map(entry => taken(entry, 'first')), departed: [] }, 0);
+    const firstHosts = ['a', 'b', 'c'].map(id => testHost(id));
+    hosts.take({ taken: firstHosts.map(entry => taken(entry, 'first')), departed: [] }, 0);
     const next = testHost('d');
-    hosts.take({ taken: [taken(next, 'new')], departed: fleet.slice(0, 1) }, 50);
+    hosts.take({ taken: [taken(next, 'new')], departed: firstHosts.slice(0, 1) }, 50);
     expect(hosts.count(60)).to.equal(0);
   });
 
-  it('are none in a service that bears its full rate from the start', () => {
+  it('are none in a service that takes its full rate from the start', () => {
     const hosts = coldHosts();
     const host = testHost('x', { service: 'plain', coldLeftMs: 5_000 });
     hosts.take({ taken: [taken(host, 'new')], departed: [] }, 0);
@@ -77,7 +79,7 @@
     expect(hosts.spellOf(host, 1)).to.equal(undefined);
   });
 
-  it('are those of a failure domain that came back whole, until they write again', () => {
+  it('are those of a failure domain that was empty before, until their next entry', () => {
     const hosts = coldHosts();
     const old = testHost('old');
     hosts.take({ taken: [taken(old, 'first')], departed: [] }, 0);
@@ -94,7 +96,7 @@
     expect(hosts.spellOf(late, 20_002 + ASSUMED_MS)).to.equal(undefined);
   });
 
-  it('are none where another group is formed, seen by who only sees heads', () => {
+  it('are none where another group is formed and only the heads of groups are received', () => {
     const hosts = coldHosts();
     const membership = { group: 'g', epoch: 1, rank: 0, state: 'open' } as const;
     const [old, next] = [testHost('old', { membership }), testHost('next', { membership })];
@@ -114,7 +116,7 @@
     expect(hosts.spellOf(late, 3_600_001)).to.equal(undefined);
   });
 
-  it('are none where entries lapsed while the store was out and the same hosts are listed again', () => {
+  it('are none where entries expired during an outage of the store and the same hosts are listed again', () => {
     const hosts = coldHosts();
     const host = testHost('x');
     hosts.take({ taken: [taken(host, 'first')], departed: [] }, 0);
@@ -141,9 +143,9 @@
     expect(hosts.spellOf(host, 10_201)).to.equal(undefined);
   });
 
-  it('have a line where a failure domain comes back without saying that its hosts are cold', () => {
+  it('are logged where a failure domain is filled again and its entries do not say that hosts are cold', () => {
     const lines: string[] = [];
-    const hosts = coldHosts(linesOf(lines));
+    const hosts = coldHosts(logTo(lines));
     const old = testHost('old');
     hosts.take({ taken: [taken(old, 'first')], departed: [] }, 0);
     hosts.take({ taken: [], departed: [old] }, 1_000);
@@ -151,13 +153,15 @@
     expect(lines).to.have.length(1);
   });
 
-  it('have one line for a whole failure domain', () => {
+  it('are logged in one line for a whole failure domain', () => {
     const lines: string[] = [];
-    const hosts = coldHosts(linesOf(lines));
-    const domain = Array.from({ length: 57 }, (_, at) => testHost(`x${at}`, { coldLeftMs: 3_000 }));
-    for (const [at, entry] of domain.entries()) {
-      hosts.take({ taken: [taken(entry, 'new')], departed: [] }, 10 * at);
-      hosts.take({ taken: [taken(entry, 'known')], departed: [] }, 1_000 + 10 * at);
+    const hosts = coldHosts(logTo(lines));
+    const domainHosts = Array.from({ length: 57 }, (_, index) =>
+      testHost(`x${index}`, { coldLeftMs: 3_000 }),
+    );
+    for (const [index, entry] of domainHosts.entries()) {
+      hosts.take({ taken: [taken(entry, 'new')], departed: [] }, 10 * index);
+      hosts.take({ taken: [taken(entry, 'known')], departed: [] }, 1_000 + 10 * index);
     }
     expect(lines).to.have.length(1);
     expect(lines[0]).to.contain('cold hosts arrived').and.to.contain('"failureDomain":"a"');
--- a/packages/entry/src/slow-start/cold-hosts.ts
+++ b/packages/entry/src/slow-start/cold-hosts.ts
@@ -1,12 +1,11 @@
 /**
- * Which upstream hosts are cold, by incarnation and in this process's monotonic time. Pure: it is given
- * entries and ends of evacuations.
+ * Tracks which upstream hosts are cold, by incarnation and in this process's monotonic time. Pure: its inputs are host
+ * entries and the ends of evacuations.
  *
- * A host's entry says for how much longer the host is cold. That is counted from when the entry was
- * received, which is later than it was written, so that a host is never taken for warm too early. In two
- * cases a host counts as cold although its entry does not say so: an evacuation of its failure domain has
- * ended and its entry is older than that; or all hosts of its service in the failure domain were gone, and
- * it is a new one there.
+ * A host's entry contains the time for which the host stays cold. The time is counted from when the entry was received,
+ * which is later than when it was written, so that a host is never taken for warm too early. In two cases a host counts
+ * as cold although its entry does not say so: an evacuation of its failure domain has ended and its entry is older than
+ * that; or all hosts of its service in the failure domain had been removed, and it is a new one there.
  */
 import { isLaterRevision } from '@hingescale/core';
 
@@ -15,200 +14,204 @@
 import type { HostBatch, TakenEntry } from '../hosts/host-registry.js';
 import type { Log } from '../server/log.js';
 
-/** A time for which a host counts as cold, in monotonic milliseconds. */
+/** A period in which a host counts as cold, in monotonic milliseconds. */
 export type ColdSpell = {
-  /** When this process first took it for cold. */
+  /** When the host first counted as cold in this process. */
   readonly since: number;
   readonly until: number;
 };
 
-/** What is known of one incarnation. */
-type KnownHost = {
+/** The last received entry of a host, and what follows from it. */
+type HostRecord = {
   readonly entry: HostEntry;
-  /** Revision of the store at which its newest entry was written. */
+  /** Revision of the store at which the entry was written. */
   readonly revision: number;
-  /** The spell that this entry announces. */
+  /** The cold period that the entry announces. */
   readonly announced: ColdSpell | undefined;
-  /** When it came into a failure domain that had been empty; until its next entry. */
+  /** When the host was added to a failure domain that had been empty; cleared by its next entry. */
   readonly returnedAt: number | undefined;
 };
 
-/** The end of an evacuation: when this process learned of it, and at which revision of the store it was. */
+/** The end of an evacuation: when this process received it (monotonic milliseconds), and its revision of the store. */
 type EvacuationEnd = { readonly at: number; readonly revision: number };
 
-/** Options of the cold hosts. */
+/** Options of {@link ColdHosts}. */
 export type ColdHostsOptions = {
-  /** Undefined where hosts of the service take their full rate from the start. */
+  /** Slow start of a service; undefined where its hosts take their full rate from the start. */
   readonly slowStartOf: (service: string) => SlowStart | undefined;
   /**
-   * Period in which hosts renew their entries, in milliseconds: for so long a host may have been cold
-   * without saying so.
+   * Interval at which hosts renew their entries, in milliseconds: a host may have been cold for that long before its
+   * entry says so.
    */
   readonly heartbeatMs: () => number;
   readonly log: Log;
 };
 
-/** Keeps track of the cold hosts. */
+/** Decides whether a host is cold. */
 export class ColdHosts {
   readonly #options: ColdHostsOptions;
-  readonly #hosts = new Map<string, KnownHost>();
-  readonly #ends = new Map<string, EvacuationEnd>();
-  /** Known hosts by service and failure domain. */
-  readonly #counts = new Map<string, number>();
-  /** By service and failure domain, where all hosts were gone: when the first came back, once one has. */
-  readonly #emptied = new Map<string, number | undefined>();
-  /** By service and failure domain: until when arrivals are not logged again. */
+  readonly #hosts = new Map<string, HostRecord>();
+  readonly #evacuationEnds = new Map<string, EvacuationEnd>();
+  /** Number of known hosts by service and failure domain. */
+  readonly #hostCounts = new Map<string, number>();
+  /** By service and failure domain, if all hosts there were removed: when the first new one was added, once one was. */
+  readonly #returnTimes = new Map<string, number | undefined>();
+  /** By service and failure domain: until when added cold hosts are not logged again. */
   readonly #loggedUntil = new Map<string, number>();
 
   constructor(options: ColdHostsOptions) {
     this.#options = options;
   }
 
-  /** Takes one answer of the store or a peer; `now` in monotonic milliseconds. */
+  /** Applies the changes of one answer of the store or a peer; `now` in monotonic milliseconds. */
   take({ taken, departed }: HostBatch, now: number): void {
     departed.forEach(entry => {
-      this.#forget(entry);
+      this.#removeHost(entry);
     });
-    const cold = taken.filter(one => this.#takeEntry(one, now));
+    const cold = taken.filter(one => this.#applyEntry(one, now));
     this.#logCold(cold, now);
   }
 
-  /** An evacuation has ended at a revision of the store; hosts may have become cold meanwhile. */
+  /** Records that an evacuation ended at a revision of the store; its hosts may have become cold in the meantime. */
   evacuationEnded(failureDomain: string, revision: number, now: number): void {
-    this.#ends.set(failureDomain, { at: now, revision });
+    this.#evacuationEnds.set(failureDomain, { at: now, revision });
   }
 
-  /** The time for which the host counts as cold; undefined for a warm one. */
+  /** The period in which the host counts as cold; undefined for a warm host. */
   spellOf(host: HostEntry, now: number): ColdSpell | undefined {
     const slowStart = this.#options.slowStartOf(host.service);
     if (slowStart === undefined) {
       return undefined;
     }
     const known = this.#hosts.get(host.id);
-    const endedAt = this.#endedFor(host, known);
+    const endedAt = this.#evacuationEndedAt(host, known);
     const returnedAt = known?.returnedAt;
-    // A shortcut for nearly all hosts: this is asked for each target of each request.
+    // A shortcut for nearly all hosts: this runs for each target of each request.
     if (known?.announced === undefined && returnedAt === undefined && endedAt === undefined) {
       return undefined;
     }
-    const spells = [
+    const periods = [
       known?.announced,
-      this.#assumed(returnedAt, slowStart),
-      this.#assumed(endedAt, slowStart),
+      this.#assumedPeriod(returnedAt, slowStart),
+      this.#assumedPeriod(endedAt, slowStart),
     ];
-    return spells.reduce((longest, spell) => longer(longest, spell, now), undefined);
+    return periods.reduce((latest, period) => laterEnding(latest, period, now), undefined);
   }
 
-  /** Hosts that count as cold now. */
+  /** Number of hosts that count as cold now. */
   count(now: number): number {
     const hosts = [...this.#hosts.values()];
     return hosts.filter(({ entry }) => this.spellOf(entry, now) !== undefined).length;
   }
 
-  // True when the entry makes its host cold.
-  #takeEntry({ entry, revision, standing }: TakenEntry, now: number): boolean {
-    const before = this.#hosts.get(entry.id);
-    if (before === undefined) {
-      const key = placeOf(entry);
-      const others = this.#counts.get(key) ?? 0;
-      this.#counts.set(key, others + 1);
-      // The same hosts are listed again: the failure domain had not ended.
-      if (others === 0 && standing !== 'new') {
-        this.#emptied.delete(key);
+  // True when the entry starts a cold period of its host.
+  #applyEntry({ entry, revision, standing }: TakenEntry, now: number): boolean {
+    const previous = this.#hosts.get(entry.id);
+    if (previous === undefined) {
+      const key = domainKey(entry);
+      const otherCount = this.#hostCounts.get(key) ?? 0;
+      this.#hostCounts.set(key, otherCount + 1);
+      // The same hosts are listed again: their processes had not ended.
+      if (otherCount === 0 && standing !== 'new') {
+        this.#returnTimes.delete(key);
       }
     }
-    const returnedAt = standing === 'new' && this.#isReturning(entry, now) ? now : undefined;
-    const announced = announcedSpell(entry, before?.announced, now);
+    const returnedAt = standing === 'new' && this.#isReturned(entry, now) ? now : undefined;
+    const announced = announcedPeriod(entry, previous?.announced, now);
     this.#hosts.set(entry.id, { entry, revision, announced, returnedAt });
-    const isNewlyAnnounced = announced?.since !== before?.announced?.since;
+    const isNewlyAnnounced = announced?.since !== previous?.announced?.since;
     return returnedAt !== undefined || (announced !== undefined && isNewlyAnnounced);
   }
 
-  // New hosts count as returned for as long after the first of them as hosts stay cold; later ones are
-  // ordinary new hosts again.
-  #isReturning(entry: HostEntry, now: number): boolean {
+  // True for a new host in a failure domain that had been empty. This holds for as long after the first new host there
+  // as hosts stay cold; hosts that are added later are ordinary new hosts again.
+  #isReturned(entry: HostEntry, now: number): boolean {
     const slowStart = this.#options.slowStartOf(entry.service);
-    const key = placeOf(entry);
-    // A member of a group has been there for a while, and has told by itself whether it is cold; who only
-    // sees the heads of groups sees another one come when a group is formed anew.
-    if (slowStart === undefined || !this.#emptied.has(key) || entry.membership !== undefined) {
+    const key = domainKey(entry);
+    // A member of a replica group has been running for a while, and its own entries have said whether it is cold. A
+    // process that only receives the heads of groups sees a new host whenever a group is formed again.
+    if (slowStart === undefined || !this.#returnTimes.has(key) || entry.membership !== undefined) {
       return false;
     }
-    const first = this.#emptied.get(key) ?? now;
-    this.#emptied.set(key, first);
-    if (now - first <= slowStart.coldMs + this.#options.heartbeatMs()) {
+    const firstAt = this.#returnTimes.get(key) ?? now;
+    this.#returnTimes.set(key, firstAt);
+    if (now - firstAt <= slowStart.coldMs + this.#options.heartbeatMs()) {
       return true;
     }
-    this.#emptied.delete(key);
+    this.#returnTimes.delete(key);
     return false;
   }
 
-  #forget(entry: HostEntry): void {
+  #removeHost(entry: HostEntry): void {
     if (!this.#hosts.delete(entry.id)) {
       return;
     }
-    const key = placeOf(entry);
-    const left = (this.#counts.get(key) ?? 1) - 1;
-    this.#counts.set(key, left);
-    if (left === 0) {
-      this.#emptied.set(key, undefined);
+    const key = domainKey(entry);
+    const remaining = (this.#hostCounts.get(key) ?? 1) - 1;
+    this.#hostCounts.set(key, remaining);
+    if (remaining === 0) {
+      this.#returnTimes.set(key, undefined);
     }
   }
 
-  // Undefined for a host whose entry was written after the end: the entry itself says whether it is cold.
-  #endedFor(host: HostEntry, known: KnownHost | undefined): number | undefined {
-    const end = this.#ends.get(host.failureDomain);
-    const isNewer =
+  // When the evacuation of the host's failure domain ended. Undefined for a host whose entry was written after the end:
+  // that entry itself says whether the host is cold.
+  #evacuationEndedAt(host: HostEntry, known: HostRecord | undefined): number | undefined {
+    const end = this.#evacuationEnds.get(host.failureDomain);
+    const isEntryNewer =
       end !== undefined && known !== undefined && isLaterRevision(known.revision, end.revision);
-    return isNewer ? undefined : end?.at;
+    return isEntryNewer ? undefined : end?.at;
   }
 
-  #assumed(since: number | undefined, { coldMs }: SlowStart): ColdSpell | undefined {
+  // The longest period for which a host may be cold whose entry does not say so yet.
+  #assumedPeriod(since: number | undefined, { coldMs }: SlowStart): ColdSpell | undefined {
     if (since === undefined) {
       return undefined;
     }
     return { since, until: since + coldMs + this.#options.heartbeatMs() };
   }
 
-  // One line for each failure domain: its entries arrive in several answers, of which the first is logged.
+  // Logs one line for each service and failure domain: its entries arrive in several answers, the first of which is
+  // logged.
   #logCold(cold: readonly TakenEntry[], now: number): void {
     for (const { entry } of cold) {
       const { id, service, failureDomain } = entry;
       const slowStart = this.#options.slowStartOf(service);
-      const key = placeOf(entry);
+      const key = domainKey(entry);
       if (slowStart === undefined || now < (this.#loggedUntil.get(key) ?? -Infinity)) {
         continue;
       }
       this.#loggedUntil.set(key, now + slowStart.coldMs + this.#options.heartbeatMs());
-      const inDomain = cold.filter(other => placeOf(other.entry) === key).length;
+      const domainCount = cold.filter(other => domainKey(other.entry) === key).length;
       this.#options.log.info('cold hosts arrived', {
         service,
         failureDomain,
-        count: inDomain,
+        count: domainCount,
         first: id,
       });
     }
   }
 }
 
-function placeOf({ service, failureDomain }: HostEntry): string {
+function domainKey({ service, failureDomain }: HostEntry): string {
   return `${service}/${failureDomain}`;
 }
 
-// A host that is cold already keeps the start of its spell, so that its allowance does not start anew.
-function announcedSpell(
+// A host that is cold already keeps the start of its period, so that its allowance does not start over.
+function announcedPeriod(
   { coldLeftMs }: HostEntry,
-  before: ColdSpell | undefined,
+  previous: ColdSpell | undefined,
   now: number,
 ): ColdSpell | undefined {
   if (coldLeftMs <= 0) {
     return undefined;
   }
-  const isSame = before !== undefined && before.until > now;
-  return { since: isSame ? before.since : now, until: now + coldLeftMs };
+  const isContinued = previous !== undefined && previous.until > now;
+  return { since: isContinued ? previous.since : now, until: now + coldLeftMs };
 }
 
-function longer(
+// Whichever of the periods ends later; `b` is disregarded once it has ended.
+function laterEnding(
   a: ColdSpell | undefined,
   b: ColdSpell | undefined,
   now: number,
--- a/packages/entry/src/slow-start/cold-sends.ts
+++ b/packages/entry/src/slow-start/cold-sends.ts
@@ -1,4 +1,4 @@
-/** Rate limit of this entry host's requests to cold hosts: slow start as a bound of {@link PacedSends}. */
+/** Limits the rate of this entry host's requests to cold hosts: slow start as a bound of {@link PacedSends}. */
 import type { SlowStart } from '../configuration/serving-configuration.js';
 import type { HostEntry } from '../hosts/host-entry.js';
 import type { PacedSendsOptions, SendBound } from '../rate-limits/paced-sends.js';
@@ -7,26 +7,34 @@
 import type { Counters } from '../server/metrics.js';
 import type { ColdSpell } from './cold-hosts.js';
 
-/** The bound on arrivals at cold hosts from all entry hosts together, in any one second. */
-export type ColdBounds = { readonly coldOvershoot: number; readonly coldSlack: number };
+/** Bound on the requests that a cold host receives from all entry hosts together, in any one second. */
+export type ColdBounds = {
+  /** Factor on the rate of slow start. */
+  readonly coldOvershoot: number;
+  /** Number of requests beyond that. */
+  readonly coldSlack: number;
+};
 
-/** Options of the cold sends. */
+/** Options of {@link ColdSends}. */
 export type ColdSendsOptions = Pick<PacedSendsOptions, 'self' | 'members'> & {
+  /** The period in which a host counts as cold; undefined for a warm host. */
   readonly spellOf: (host: HostEntry, now: number) => ColdSpell | undefined;
+  /** Slow start of a service; undefined where its hosts take their full rate from the start. */
   readonly slowStartOf: (service: string) => SlowStart | undefined;
   readonly bounds: () => ColdBounds;
   readonly counters: Counters;
 };
 
+/** Window of the rate limit, in milliseconds. */
 const WINDOW_MS = 1_000;
 
-/** Limits the sends to cold hosts. */
+/** Decides when this entry host may send a request to a cold host. */
 export class ColdSends extends PacedSends {
   constructor({ self, members, spellOf, slowStartOf, bounds, counters }: ColdSendsOptions) {
     const boundOf = (host: HostEntry, now: number): SendBound | undefined => {
       const slowStart = slowStartOf(host.service);
-      const spell = slowStart && spellOf(host, now);
-      return spell && { ...spell, limit: coldLimit(slowStart.requestsPerSecond, bounds()) };
+      const period = slowStart && spellOf(host, now);
+      return period && { ...period, limit: coldLimit(slowStart.requestsPerSecond, bounds()) };
     };
     const taken = ({ service }: HostEntry): void => {
       counters.count('cold_sends_total', { service });
@@ -35,7 +43,7 @@
   }
 }
 
-/** The bound on arrivals at one cold host. */
+/** Rate limit of one cold host, for the requests of all entry hosts together. */
 export function coldLimit(
   requestsPerSecond: number,
   { coldOvershoot, coldSlack }: ColdBounds,
--- a/packages/entry/src/slow-start/slow-start-limits.ts
+++ b/packages/entry/src/slow-start/slow-start-limits.ts
@@ -1,4 +1,4 @@
-/** Slow start at one entry host: wires together which hosts are cold and what may be sent to them. */
+/** Slow start at one entry host: connects the tracking of cold hosts with the rate limit on requests to them. */
 import type { HostBatch } from '../hosts/host-registry.js';
 import { monotonicMs } from '../server/time.js';
 import type { ColdHostsOptions } from './cold-hosts.js';
@@ -6,18 +6,19 @@
 import type { ColdSendsOptions } from './cold-sends.js';
 import { ColdSends } from './cold-sends.js';
 
-/** Bounds of slow start, as the settings give them. */
+/** The settings of slow start. */
 type SlowStartBounds = ReturnType<ColdSendsOptions['bounds']> & { readonly heartbeatMs: number };
 
-/** Options of slow start. */
+/** Options of {@link SlowStartLimits}. */
 export type SlowStartLimitsOptions = Omit<ColdSendsOptions, 'spellOf' | 'bounds'> &
   Pick<ColdHostsOptions, 'log'> & {
-    /** Asked anew each time, since settings may change. */
+    /** Called for each use, since settings may change. */
     readonly bounds: () => SlowStartBounds;
   };
 
-/** Cold hosts and the sends to them, by this process's clock. */
+/** Tracks cold hosts and limits the requests to them, by this process's monotonic clock. */
 export class SlowStartLimits {
+  /** The rate limit on requests to cold hosts. */
   readonly sends: ColdSends;
   readonly #hosts: ColdHosts;
 
@@ -30,17 +31,17 @@
     });
   }
 
-  /** Hosts that count as cold now. */
+  /** Number of hosts that count as cold now. */
   get coldHosts(): number {
     return this.#hosts.count(monotonicMs());
   }
 
-  /** Takes the hosts of one answer of the store or a peer. */
+  /** Applies the host entries of one answer of the store or a peer. */
   readonly batchTaken = (batch: HostBatch): void => {
     this.#hosts.take(batch, monotonicMs());
   };
 
-  /** The evacuation of a failure domain has ended at a revision of the store. */
+  /** Records that the evacuation of a failure domain ended at a revision of the store. */
   readonly evacuationEnded = (failureDomain: string, revision: number): void => {
     this.#hosts.evacuationEnded(failureDomain, revision, monotonicMs());
   };
