--- a/packages/entry/src/requests/connection-choice.ts
+++ b/packages/entry/src/requests/connection-choice.ts
@@ -1,13 +1,13 @@
-/** Decides whether a request may go on a kept connection. */
+/** Decides whether a request may be sent on a kept (keep-alive) connection. */
 import type { RelayServices } from './relay-services.js';
 import type { RequestContext } from './request-context.js';
 import { mayRepeat } from './request-context.js';
 import type { UpstreamConnections } from './upstream-connections.js';
 
 /**
- * The kept connections for a request that may run twice; undefined, for a new connection, for one that may
- * not. The upstream may close a kept connection just as a request is sent: then it is not known whether the
- * request ran, and one that may run only once would have to be failed.
+ * Returns the pool of kept connections for a request that may run more than once, and undefined for any other
+ * request, which then gets a new connection of its own. The upstream host may close a kept connection just as a
+ * request is sent. Whether the request ran is then unknown, and a request that may run only once would have to fail.
  */
 export function connectionsFor(
   { connectionsOf, counters }: RelayServices,
--- a/packages/entry/src/requests/connection-reuse.test.ts
+++ b/packages/entry/src/requests/connection-reuse.test.ts
@@ -1,11 +1,11 @@
-/** Idle times of kept connections. */
+/** Tests how long idle connections are kept. */
 import { expect } from 'chai';
 import fc from 'fast-check';
 
 import { announcedIdleMs, keptIdleMs, USUAL_IDLE_MS } from './connection-reuse.js';
 
 describe('the idle time of a kept connection', () => {
-  it('is read from what the upstream announces', () => {
+  it('is read from the Keep-Alive header', () => {
     expect(announcedIdleMs('timeout=5')).to.equal(5_000);
     expect(announcedIdleMs('max=100, timeout=12')).to.equal(12_000);
     expect(announcedIdleMs('Timeout=1')).to.equal(1_000);
@@ -14,11 +14,11 @@
     expect(announcedIdleMs(undefined)).to.equal(undefined);
   });
 
-  it('is the usual one where nothing is announced', () => {
+  it('is the default one if the upstream host announces none', () => {
     expect(keptIdleMs(undefined)).to.equal(USUAL_IDLE_MS);
   });
 
-  it('ends before the announced one, by a margin that bears a late processor', () => {
+  it('ends before the announced one, by a margin for timers that fire late', () => {
     fc.assert(
       fc.property(fc.integer({ min: 1, max: 1_000_000 }), seconds => {
         const announcedMs = seconds * 1_000;
--- a/packages/entry/src/requests/event-forwarder.ts
+++ b/packages/entry/src/requests/event-forwarder.ts
@@ -1,64 +1,68 @@
-/** Passes on whole events only, so that a broken stream can go on elsewhere without a seam. */
+/**
+ * Passes on complete server-sent events only. A stream that breaks can then be resumed at another host after the last
+ * complete event, without the caller receiving part of an event twice.
+ */
 
-const BLANK_LINE = Buffer.from('\n\n');
+const EVENT_END = Buffer.from('\n\n');
 const ID_FIELD = 'id:';
 
-/** Cuts a stream of server-sent events (WHATWG HTML, 9.2) into whole events. */
+/** Splits a byte stream of server-sent events (WHATWG HTML, 9.2) after complete events. */
 export class EventForwarder {
-  #rest: Buffer | undefined;
+  #partialEvent: Buffer | undefined;
   #lastEventId: string | undefined;
-  #events = 0;
+  #batches = 0;
 
   constructor(lastEventId: string | undefined) {
     this.#lastEventId = lastEventId;
   }
 
-  /** Id of the last whole event. */
+  /** Id of the last complete event; before the first one, the id that the stream resumes after. */
   get lastEventId(): string | undefined {
     return this.#lastEventId;
   }
 
-  /** Batches of whole events so far. */
+  /** Number of batches of complete events returned so far; a batch holds one event or more. */
   get batches(): number {
-    return this.#events;
+    return this.#batches;
   }
 
-  /** Bytes of an event that has begun and is not whole. */
+  /** Number of buffered bytes that belong to an incomplete event. */
   get pendingBytes(): number {
-    return this.#rest?.length ?? 0;
+    return this.#partialEvent?.length ?? 0;
   }
 
-  /** Takes bytes and gives those that end whole events. */
+  /** Adds bytes and returns all buffered bytes up to the end of the last complete event; undefined if there is none. */
   feed(chunk: Buffer): Buffer | undefined {
-    const bytes = this.#rest === undefined ? chunk : Buffer.concat([this.#rest, chunk]);
-    const end = bytes.lastIndexOf(BLANK_LINE);
+    const bytes =
+      this.#partialEvent === undefined ? chunk : Buffer.concat([this.#partialEvent, chunk]);
+    const end = bytes.lastIndexOf(EVENT_END);
     if (end < 0) {
-      this.#rest = bytes;
+      this.#partialEvent = bytes;
       return undefined;
     }
-    const cut = end + BLANK_LINE.length;
-    this.#rest = cut < bytes.length ? bytes.subarray(cut) : undefined;
-    const whole = bytes.subarray(0, cut);
-    this.#events += 1;
-    this.#lastEventId = lastIdIn(whole) ?? this.#lastEventId;
-    return whole;
+    const splitAt = end + EVENT_END.length;
+    this.#partialEvent = splitAt < bytes.length ? bytes.subarray(splitAt) : undefined;
+    const completeEvents = bytes.subarray(0, splitAt);
+    this.#batches += 1;
+    this.#lastEventId = lastEventIdIn(completeEvents) ?? this.#lastEventId;
+    return completeEvents;
   }
 
-  /** A new run goes on behind the last event: what was not whole is dropped. */
+  /** Drops the incomplete event, before another attempt resumes the stream after the last complete event. */
   restart(): void {
-    this.#rest = undefined;
+    this.#partialEvent = undefined;
   }
 }
 
-function lastIdIn(events: Buffer): string | undefined {
+function lastEventIdIn(events: Buffer): string | undefined {
   const text = events.toString('latin1');
-  let at = text.lastIndexOf(ID_FIELD);
-  while (at > 0 && text[at - 1] !== '\n') {
-    at = text.lastIndexOf(ID_FIELD, at - 1);
+  let position = text.lastIndexOf(ID_FIELD);
+  while (position > 0 && text[position - 1] !== '\n') {
+    position = text.lastIndexOf(ID_FIELD, position - 1);
   }
-  if (at < 0) {
+  if (position < 0) {
     return undefined;
   }
-  const end = text.indexOf('\n', at);
-  return text.slice(at + ID_FIELD.length, end).trim();
+  const end = text.indexOf('\n', position);
+  return text.slice(position + ID_FIELD.length, end).trim();
 }
--- a/packages/entry/src/requests/exchange.test.ts
+++ b/packages/entry/src/requests/exchange.test.ts
@@ -1,4 +1,4 @@
-/** Exchanges over kept connections that go silent without a reset. */
+/** Tests how exchanges end when connections are exhausted, reset, silent or never established. */
 import { Socket } from 'node:net';
 
 import { CutProxy } from '@hingescale/runtime/testing';
@@ -12,26 +12,26 @@
 import { startExchange } from './exchange.js';
 import { UpstreamConnections } from './upstream-connections.js';
 
-const PATIENCE_MS = 150;
+const CANCEL_AFTER_MS = 150;
 
-/** Connections that never complete, as to a host that has lost its power. */
-class DarkConnections extends UpstreamConnections {
+/** Connections that are never established, as to a host without power. */
+class UnestablishedConnections extends UpstreamConnections {
   override createConnection(): Socket {
     return Object.defineProperty(new Socket(), 'connecting', { value: true });
   }
 }
 
-function usualTimes(ms: number): ConnectTimes {
-  const times = new ConnectTimes();
-  times.note('a', ms);
-  return times;
+function connectTimesOf(ms: number): ConnectTimes {
+  const connectTimes = new ConnectTimes();
+  connectTimes.note('a', ms);
+  return connectTimes;
 }
 
 function exchange(
   host: HostEntry,
   connections: UpstreamConnections,
   connects = new ConnectTimes(),
-  patienceMs = PATIENCE_MS,
+  cancelAfterMs = CANCEL_AFTER_MS,
   mayWrite: () => boolean = () => true,
 ): Promise<ExchangeEnd> {
   return new Promise(resolve => {
@@ -53,18 +53,18 @@
     );
     setTimeout(() => {
       started.cancel();
-    }, patienceMs);
+    }, cancelAfterMs);
   });
 }
 
 describe('an exchange', () => {
-  it('that waits for a connection longer than it may connect never reaches the host', async () => {
+  it('that waits for a free connection longer than the connect timeout never reaches the host', async () => {
     const upstream = new UpstreamStandIn(response => {
       setTimeout(() => response.end('ok'), MOST_CONNECT_MS + 150);
     });
     const { host } = await upstream.listen('h');
     const connections = new UpstreamConnections(1);
-    const start = (): Promise<ExchangeEnd> => exchange(host, connections, usualTimes(1), 2_000);
+    const start = (): Promise<ExchangeEnd> => exchange(host, connections, connectTimesOf(1), 2_000);
     const first = start();
     expect(await start()).to.equal('crowded');
     expect(await first).to.equal('whole');
@@ -75,7 +75,7 @@
     upstream.close();
   });
 
-  it('that may not be written any more when it has a connection never reaches the host', async () => {
+  it('that may no longer be written once it has a connection never reaches the host', async () => {
     const upstream = new UpstreamStandIn(response => {
       setTimeout(() => response.end('ok'), 60);
     });
@@ -83,14 +83,14 @@
     const connections = new UpstreamConnections(1);
     let mayWrite = true;
     const start = (): Promise<ExchangeEnd> =>
-      exchange(host, connections, usualTimes(1), PATIENCE_MS, () => mayWrite);
-    // The second one waits for the connection of the first, and the answer of that forbids it.
+      exchange(host, connections, connectTimesOf(1), CANCEL_AFTER_MS, () => mayWrite);
+    // The second exchange waits for the connection of the first. Before that is free, writing is forbidden.
     const [first, second] = [start(), start()];
     await sleep(20);
     mayWrite = false;
     expect(await first).to.equal('whole');
     expect(await second).to.equal('withheld');
-    // Neither is it written to a new connection, nor to a kept one.
+    // The request is written neither to a new connection nor to a kept one.
     expect(await start()).to.equal('withheld');
     mayWrite = true;
     expect(await start()).to.equal('whole');
@@ -101,7 +101,7 @@
     upstream.close();
   });
 
-  it('that is given up on a kept connection closes the other idle ones of the host', async () => {
+  it('that is cancelled without an answer on a kept connection closes the other idle ones of the host', async () => {
     const upstream = new UpstreamStandIn(response => {
       setTimeout(() => response.end('ok'), 20);
     });
@@ -132,7 +132,7 @@
       connections.destroy();
     });
 
-    // The second request of a connection is answered by its reset.
+    // An upstream host that resets the connection `ms` after its second request, in place of an answer.
     async function resetAfter(ms: number): Promise<HostEntry> {
       let asked = 0;
       upstream = new UpstreamStandIn((response, request) => {
@@ -146,7 +146,7 @@
       return (await upstream.listen('h')).host;
     }
 
-    it('that is reset at once is stale, which says nothing of the host', async () => {
+    it('that is reset at once ends as stale, which is no failure of the host', async () => {
       const host = await resetAfter(0);
       expect(await exchange(host, connections)).to.equal('whole');
       await sleep(20);
@@ -154,7 +154,7 @@
       expect(await exchange(host, connections)).to.equal('whole');
     });
 
-    it('that is reset while the host is at work is lost', async () => {
+    it('that is reset while the host runs the request is lost', async () => {
       const host = await resetAfter(120);
       expect(await exchange(host, connections)).to.equal('whole');
       await sleep(20);
@@ -171,24 +171,24 @@
     upstream.close();
   });
 
-  it('whose connection does not come up has sent nothing, soon after the usual time', async () => {
-    const connections = new DarkConnections(10);
+  it('whose connection is not established ends unsent soon after the usual connect time', async () => {
+    const connections = new UnestablishedConnections(10);
     const host = { ip: '127.0.0.1', port: 9, failureDomain: 'a' } as HostEntry;
     const startedAt = monotonicMs();
-    expect(await exchange(host, connections, usualTimes(1), 1_000)).to.equal('never-sent');
+    expect(await exchange(host, connections, connectTimesOf(1), 1_000)).to.equal('never-sent');
     expect(monotonicMs() - startedAt).to.be.within(90, 200);
     connections.destroy();
   });
 
-  it('waits for no connection that came up while this process was held up', async () => {
+  it('does not time out if its connection was established while the event loop was blocked', async () => {
     const upstream = new UpstreamStandIn(response => response.end('ok'));
     const { host } = await upstream.listen('h');
     const connections = new UpstreamConnections(10);
-    const ended = exchange(host, connections, usualTimes(1), 2_000);
+    const ended = exchange(host, connections, connectTimesOf(1), 2_000);
     await new Promise(resolve => process.nextTick(resolve));
     const busyUntil = monotonicMs() + 250;
     while (monotonicMs() < busyUntil) {
-      // Holds the process up for longer than the limit of a connection.
+      // Blocks the event loop for longer than the connect timeout.
     }
     expect(await ended).to.equal('whole');
     connections.destroy();
--- a/packages/entry/src/requests/exchange.ts
+++ b/packages/entry/src/requests/exchange.ts
@@ -1,4 +1,4 @@
-/** One request on one connection to an upstream host, sent once: retries are up to the caller. */
+/** Sends one request once, on one connection to an upstream host. Retries are left to the relays. */
 import type { IncomingMessage } from 'node:http';
 import { request as httpRequest } from 'node:http';
 import type { Socket } from 'node:net';
@@ -11,94 +11,98 @@
 import type { RawHeaders } from './relay-headers.js';
 import type { UpstreamConnections } from './upstream-connections.js';
 
-/** What is sent. */
+/** A request to an upstream host, and the services and callbacks that sending it needs. */
 export type ExchangeRequest = {
   readonly host: HostEntry;
   readonly method: string;
   readonly url: string;
   readonly headers: RawHeaders;
   readonly body: Buffer | undefined;
-  /** Undefined for a connection of its own. */
+  /** Pool of kept connections; undefined: the request gets a new connection of its own. */
   readonly connections: UpstreamConnections | undefined;
   readonly connects: ConnectTimes;
-  /** Asked right before the request is written to a connection; false: it must not be. */
+  /** Called right before the request is written to a connection; false: it must not be written. */
   readonly mayWrite: () => boolean;
-  /** Called once where the request ends without having been written. */
+  /** Called once if the request ends without having been written to a connection. */
   readonly unwritten: () => void;
   readonly requestId: string;
-  /** Called with the head of each answer of the host, whatever becomes of the request. */
+  /** Called with the head (status and headers) of the host's answer, also when the answer is not used. */
   readonly heard: HostAnswerListener;
 };
 
 /**
- * Time within which a request on a kept connection that the upstream had closed before fails, in
- * milliseconds: a round trip and some scheduling delay. A later failure is one of the host or its work.
+ * Time in milliseconds within which a request fails if the upstream host had already closed the kept connection: a
+ * round trip and some scheduling delay. A later failure is a failure of the host or of the running request.
  */
-const STALE_WITHIN_MS = 100;
+const STALE_CONNECTION_WINDOW_MS = 100;
 
 /** How an exchange ended. */
 export type ExchangeEnd =
-  /** The whole answer has come. */
+  /** The answer was received completely. */
   | 'whole'
-  /** Nothing has left this process: the host took no connection. */
+  /** Not sent: no connection to the host could be established. */
   | 'never-sent'
   /**
-   * Nothing has left this process: all connections that may be open to the host were in use. This tells of this
-   * process's own requests, not of the host.
+   * Not sent: all connections that may be open to the host at once were in use. This results from this process's own
+   * requests and is not a fault of the host.
    */
   | 'crowded'
-  /** Nothing has left this process: the host might not receive the request any more when there was a connection. */
+  /** Not sent: by the time a connection was available, the host was no longer allowed to receive the request. */
   | 'withheld'
   /**
-   * Sent on a kept connection that was closed or reset before any answer. The request may have run, but
-   * the host has not failed: it may have closed the connection for being idle.
+   * Sent on a kept connection that was closed or reset before any answer. The request may have run. This does not
+   * count as a failure of the host, which may have closed the connection because it was idle.
    */
   | 'stale'
-  /** Sent, and ended before the head of an answer. */
+  /** Sent, but the connection ended before the head of an answer was received. */
   | 'lost'
-  /** The answer broke off. */
+  /** The connection ended within the answer. */
   | 'broken'
   /** Cancelled by the caller of {@link startExchange}. */
   | 'cancelled';
 
-/** True where nothing of the request has left this process. */
+/** True if nothing of the request has left this process. */
 export function isUnsent(end: string): end is UnsentEnd {
   return end === 'never-sent' || end === 'crowded' || end === 'withheld';
 }
 
-/** True when the connection ended after the request was sent and before its answer was whole. */
+/** True if the connection ended after the request was sent and before its answer was complete. */
 export function isBroken(end: string): boolean {
   return end === 'lost' || end === 'broken';
 }
 
-/** The ends of requests of which nothing has left this process. */
+/** Ends of exchanges of which nothing has left this process. */
 export type UnsentEnd = Extract<ExchangeEnd, 'never-sent' | 'crowded' | 'withheld'>;
 
-/** Receives what an exchange brings; `ended` comes once, last. */
+/** Callbacks of an exchange. `ended` is called exactly once, as the last one. */
 export type ExchangeObserver = {
   readonly head: (answer: IncomingMessage) => void;
   readonly data: (chunk: Buffer) => void;
   readonly ended: (end: ExchangeEnd) => void;
 };
 
-/** An exchange under way. */
+/** Controls an exchange in progress. */
 export type Exchange = {
-  /** Closes the connection; `ended` follows with `cancelled`. */
+  /** Closes the connection; the observer's `ended` is then called with `cancelled`. */
   readonly cancel: () => void;
-  /** Stops and resumes reading, while the caller is slow. */
+  /** Stops reading the answer, while the caller reads more slowly than the host sends. */
   readonly pause: () => void;
+  /** Continues reading the answer. */
   readonly resume: () => void;
 };
 
-/** Starts an exchange. */
-export function startExchange(call: ExchangeRequest, observer: ExchangeObserver): Exchange {
-  const { host, method, url, headers, body, connections, connects } = call;
+/** Starts an exchange: obtains a connection, writes the request and reports the answer to the observer. */
+export function startExchange(
+  exchangeRequest: ExchangeRequest,
+  observer: ExchangeObserver,
+): Exchange {
+  const { host, method, url, headers, body, connections, connects } = exchangeRequest;
   let ended = false;
   let answer: IncomingMessage | undefined;
   let connected = false;
   let sentAt = monotonicMs();
   let isReused = false;
-  const sent = httpRequest({
+  const clientRequest = httpRequest({
     host: host.ip,
     port: host.port,
     method,
@@ -107,50 +111,50 @@
     agent: connections ?? false,
     ...(connections === undefined ? {} : { setHost: false }),
   });
-  const end = (how: ExchangeEnd): void => {
+  const finish = (end: ExchangeEnd): void => {
     if (ended) {
       return;
     }
     ended = true;
     connectTimer.cancel();
     if (!connected) {
-      call.unwritten();
+      exchangeRequest.unwritten();
     }
-    if (how !== 'whole') {
-      // Where a kept connection was reset or got no answer, other idle ones to the host may be broken too.
-      const isDoubtful = how === 'stale' || (how === 'cancelled' && answer === undefined);
-      if (isDoubtful && isReused) {
+    if (end !== 'whole') {
+      // If a kept connection was reset or brought no answer, other idle connections to the host may be broken too.
+      const othersMayBeBroken = end === 'stale' || (end === 'cancelled' && answer === undefined);
+      if (othersMayBeBroken && isReused) {
         connections?.closeIdleTo(host.ip, host.port);
       }
-      sent.destroy();
+      clientRequest.destroy();
     }
-    observer.ended(how);
+    observer.ended(end);
   };
-  const lost = (): void => {
+  const onDisconnect = (): void => {
     if (answer !== undefined) {
-      end('broken');
+      finish('broken');
     } else if (connected) {
-      const isEarly = monotonicMs() - sentAt < STALE_WITHIN_MS;
-      end(isReused && isEarly ? 'stale' : 'lost');
+      const isWithinWindow = monotonicMs() - sentAt < STALE_CONNECTION_WINDOW_MS;
+      finish(isReused && isWithinWindow ? 'stale' : 'lost');
     } else {
-      end('never-sent');
+      finish('never-sent');
     }
   };
   const withholdUnlessAllowed = (): void => {
-    if (!ended && !call.mayWrite()) {
-      end('withheld');
+    if (!ended && !exchangeRequest.mayWrite()) {
+      finish('withheld');
     }
   };
   const failUnlessConnected = (): void => {
     if (!connected) {
-      end('never-sent');
+      finish('never-sent');
     }
   };
-  // The agent may queue the request for a free connection first; the connect timeout proper starts below.
+  // The agent may first queue the request until a connection is free; the connect timeout is set once it has one.
   let connectTimer = afterTurn(() => {
-    end('crowded');
+    finish('crowded');
   }, MOST_CONNECT_MS);
-  sent.on('socket', (socket: Socket) => {
+  clientRequest.on('socket', (socket: Socket) => {
     connectTimer.cancel();
     sentAt = monotonicMs();
     isReused = !socket.connecting;
@@ -160,46 +164,50 @@
       return;
     }
     const connectingSince = monotonicMs();
-    const noteTime = (): void => {
+    const recordConnectTime = (): void => {
       connects.note(host.failureDomain, monotonicMs() - connectingSince);
     };
     connectTimer = afterTurn(() => {
       if (!connected && !ended) {
-        noteTime();
+        recordConnectTime();
       }
       failUnlessConnected();
     }, connects.limitMs(host.failureDomain));
-    // Heard before the client's own listener, which then writes the request.
+    // This listener runs before the HTTP client's own one, which writes the request.
     socket.once('connect', () => {
       connectTimer.cancel();
-      noteTime();
+      recordConnectTime();
       withholdUnlessAllowed();
       connected = true;
     });
   });
-  sent.on('error', lost);
-  sent.on('close', lost);
-  sent.on('response', incoming => {
+  clientRequest.on('error', onDisconnect);
+  clientRequest.on('close', onDisconnect);
+  clientRequest.on('response', incoming => {
     answer = incoming;
-    call.heard(host, { head: incoming, requestId: call.requestId, askedAt: sentAt });
+    exchangeRequest.heard(host, {
+      head: incoming,
+      requestId: exchangeRequest.requestId,
+      askedAt: sentAt,
+    });
     incoming.on('data', (chunk: Buffer) => {
       if (!ended) {
         observer.data(chunk);
       }
     });
-    incoming.on('error', lost);
+    incoming.on('error', onDisconnect);
     incoming.on('close', () => {
-      end(incoming.complete ? 'whole' : 'broken');
+      finish(incoming.complete ? 'whole' : 'broken');
     });
     incoming.on('end', () => {
-      end(incoming.complete ? 'whole' : 'broken');
+      finish(incoming.complete ? 'whole' : 'broken');
     });
     observer.head(incoming);
   });
-  sent.end(body);
+  clientRequest.end(body);
   return {
     cancel: () => {
-      end('cancelled');
+      finish('cancelled');
     },
     pause: () => answer?.pause(),
     resume: () => answer?.resume(),
--- a/packages/entry/src/requests/plain-relay.test.ts
+++ b/packages/entry/src/requests/plain-relay.test.ts
@@ -1,4 +1,4 @@
-/** Calls that are held, rejected or failed by their hosts. */
+/** Requests that wait for a target, or that hosts reject, fail or lose. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 
 import { expect } from 'chai';
@@ -10,25 +10,25 @@
 
 const HEAD = { 'x-request-id': 'r', 'x-stamp': 's' };
 
-type Answer = (response: ServerResponse, request: IncomingMessage) => void;
+type AnswerHandler = (response: ServerResponse, request: IncomingMessage) => void;
 
-function fails(response: ServerResponse): void {
+function answerFailure(response: ServerResponse): void {
   response.writeHead(500, { ...HEAD, 'content-length': 5 }).end('sorry');
 }
 
-function rejects(response: ServerResponse): void {
+function answerNotExecuted(response: ServerResponse): void {
   response.writeHead(503, { ...HEAD, 'x-not-executed': '1' }).end();
 }
 
-function answers(response: ServerResponse): void {
+function answerDone(response: ServerResponse): void {
   response.writeHead(200, { ...HEAD, 'content-length': 4 }).end('done');
 }
 
-describe('a call of a caller', () => {
+describe('a relayed plain request', () => {
   const hosts: UpstreamStandIn[] = [];
 
-  async function targets(answer: Answer[]): Promise<Target[]> {
-    hosts.push(...answer.map(one => new UpstreamStandIn(one)));
+  async function targets(handlers: AnswerHandler[]): Promise<Target[]> {
+    hosts.push(...handlers.map(handler => new UpstreamStandIn(handler)));
     return Promise.all(hosts.map((host, index) => host.listen(`h${index}`)));
   }
 
@@ -38,8 +38,8 @@
     });
   });
 
-  it('reaches no host once its caller has left while it was held', async () => {
-    const [target] = await targets([answers]);
+  it('reaches no host if its caller disconnected while it waited for a target', async () => {
+    const [target] = await targets([answerDone]);
     const caller = new AbortController();
     let asked = 0;
     const services = relayServices(() => {
@@ -57,33 +57,38 @@
     expect(hosts[0]?.seen).to.deep.equal([]);
   });
 
-  it('ends with the failure of the host that ran it, not with one of our own', async () => {
-    const queue = await targets([fails, rejects, rejects, rejects]);
+  it('ends with the failure of the host that ran it, not with an own error answer', async () => {
+    const queue = await targets([
+      answerFailure,
+      answerNotExecuted,
+      answerNotExecuted,
+      answerNotExecuted,
+    ]);
     const services = relayServices(() => queue.shift());
     const { context, answer } = requestContext('r', { maxAttempts: 3 });
     await new PlainRelay(context, services).run();
     expect(answer).to.deep.equal({ status: 500, body: 'sorry' });
   });
 
-  it('that may run once only goes on to a host with room', async () => {
-    const queue = await targets([rejects, rejects, answers]);
+  it('that may run only once is sent on after rejections', async () => {
+    const queue = await targets([answerNotExecuted, answerNotExecuted, answerDone]);
     const services = relayServices(() => queue.shift());
     const { context, answer } = requestContext('r', { kind: 'non-idempotent', maxAttempts: 1 });
     await new PlainRelay(context, services).run();
     expect(answer).to.deep.equal({ status: 200, body: 'done' });
   });
 
-  it('goes on elsewhere when its kept connection was closed, and its host is not avoided', async () => {
+  it('is retried at another host if its kept connection was reset, and the first host is not avoided', async () => {
     let asked = 0;
-    const closes = (response: ServerResponse, request: IncomingMessage): void => {
+    const resetSecondRequest = (response: ServerResponse, request: IncomingMessage): void => {
       asked += 1;
       if (asked === 2) {
         request.socket.resetAndDestroy();
       } else {
-        answers(response);
+        answerDone(response);
       }
     };
-    const [closing, other] = await targets([closes, answers]);
+    const [closing, other] = await targets([resetSecondRequest, answerDone]);
     const queue = [closing, closing, other];
     const services = relayServices(() => queue.shift());
     const first = requestContext('r');
@@ -97,8 +102,8 @@
     expect(counters.value('retries_total', { service: 'plain', after: 'stale' })).to.equal(1);
   });
 
-  it('that may run once only has a connection of its own', async () => {
-    const [target] = await targets([answers]);
+  it('that may run only once gets a connection of its own', async () => {
+    const [target] = await targets([answerDone]);
     const services = relayServices(() => target);
     for (let count = 0; count < 2; count += 1) {
       const { context } = requestContext('r', { kind: 'non-idempotent', maxAttempts: 1 });
@@ -109,8 +114,8 @@
     expect(services.counters.value('upstream_connections_total', { cause: 'first' })).to.equal(0);
   });
 
-  it('that may run once goes on at once where the connection did not come up', async () => {
-    const queue = await targets([answers, answers]);
+  it('that may run only once is retried at once if the connection is not established', async () => {
+    const queue = await targets([answerDone, answerDone]);
     hosts[0]?.close();
     const services = relayServices(() => queue.shift());
     const { context, answer } = requestContext('r', { kind: 'non-idempotent', maxAttempts: 1 });
--- a/packages/entry/src/requests/plain-relay.ts
+++ b/packages/entry/src/requests/plain-relay.ts
@@ -1,4 +1,4 @@
-/** Relays calls with one answer; the answer is read whole before any of it is passed on. */
+/** Relays requests that have a single answer. The answer is read completely before any of it is passed on. */
 import type { IncomingMessage } from 'node:http';
 
 import { kindOf } from '../routing/host-activity.js';
@@ -29,59 +29,67 @@
 import { upstreamHeaders } from './upstream-request.js';
 import type { NoTargetReason } from './wait-for-target.js';
 
+/** Longest answer body that is buffered, in bytes; later bytes are dropped. */
 const MAX_ANSWER_BYTES = 16 * 1024 * 1024;
-/** Margin in which the final answer goes out before it is due, in milliseconds. */
+/** Time before the deadline at which attempts end, in milliseconds, so that the final answer is sent in time. */
 const DEADLINE_MARGIN_MS = 15;
-const NOTHING_DROPPED: ReadonlySet<string> = new Set(['content-length']);
+const DROPPED_HEADERS: ReadonlySet<string> = new Set(['content-length']);
+/** Time after which an attempt is replaced by a retry, as a multiple of the route's objective. */
+const ATTEMPT_OBJECTIVE_FACTOR = 1.5;
+/** Status of an answer from another host than the one meant (HTTP 421, misdirected request). */
+const MISDIRECTED_REQUEST = 421;
 
-/** Why a call ends without an answer of a host. */
+/** Why a request ends without an answer of a host. */
 type GiveUpReason = NoTargetReason | 'not-run';
 
-type WholeAnswer = { readonly head: IncomingMessage; readonly body: Buffer };
+/** An answer of a host that was received completely. */
+type CompleteAnswer = { readonly head: IncomingMessage; readonly body: Buffer };
 
+/** How an attempt ended. */
 type AttemptEnd =
-  | { readonly kind: 'answered'; readonly answer: WholeAnswer }
-  /** The host has not run it. */
+  | { readonly kind: 'answered'; readonly answer: CompleteAnswer }
+  /** The host answered that it has not run the request. */
   | { readonly kind: 'not-run' }
-  /** Nothing of it has left this process. */
+  /** Nothing of the request has left this process. */
   | { readonly kind: UnsentEnd }
-  /** It may have run; there is no answer that can be passed on. */
+  /** The request may have run, but there is no answer that can be passed on. */
   | { readonly kind: 'lost'; readonly detail: string }
-  /** The kept connection that it went on was closed or reset; it may have run. */
+  /** The kept connection that carried the request was closed or reset; the request may have run. */
   | { readonly kind: 'stale' }
+  /** The caller has disconnected. */
   | { readonly kind: 'gone' };
 
-/** An attempt, and what its host was believed to be when it was sent. */
+/** An attempt that has ended, with the known state of its host at the time of the send. */
 type EndedAttempt = {
   readonly target: Target;
   readonly end: AttemptEnd;
-  readonly ms: number;
-  readonly standing: StandingAtSend;
+  readonly durationMs: number;
+  readonly stateAtSend: StandingAtSend;
 };
 
-/** One call of a caller. */
+/** Relays one request of a caller. */
 export class PlainRelay {
   readonly #context: RequestContext;
   readonly #services: RelayServices;
-  readonly #log: AttemptLog;
-  /** The last answer of a host that was a failure: better than one of our own when nothing follows. */
-  #lastFailure: WholeAnswer | undefined;
+  readonly #attemptLog: AttemptLog;
+  /** The last failure that a host answered; it is preferred to an own error answer if no other attempt follows. */
+  #lastFailedAnswer: CompleteAnswer | undefined;
 
   constructor(context: RequestContext, services: RelayServices) {
     this.#context = context;
     this.#services = services;
     const budget = services.budgetOf(context.service.name);
-    this.#log = new AttemptLog(context, budget);
+    this.#attemptLog = new AttemptLog(context, budget);
   }
 
-  /** Sends the call until it is answered or may not be sent again; then answers. */
+  /** Sends the request until it is answered or may not be sent again, then answers the caller. */
   async run(): Promise<void> {
     for (;;) {
       const query = (): TargetQuery => this.#query();
       const target = await awaitTarget(this.#services, this.#context, query);
-      // The caller may have left while the call was held: then it must not reach a host any more.
+      // If the caller disconnected while the request was waiting for a target, no host may receive it any more.
       if (this.#context.gone.aborted) {
-        this.#giveBack(target);
+        this.#releaseClaim(target);
         return;
       }
       if (!isTarget(target)) {
@@ -92,17 +100,17 @@
       if (end.kind === 'gone') {
         return;
       }
-      if (end.kind === 'answered' && !this.#worthRetrying(end.answer)) {
-        this.#passOn(end.answer);
+      if (end.kind === 'answered' && !this.#isWorthRetrying(end.answer)) {
+        this.#relayAnswer(end.answer);
         return;
       }
       if (end.kind === 'answered') {
-        this.#lastFailure = end.answer;
+        this.#lastFailedAnswer = end.answer;
       }
       if (end.kind === 'lost' || end.kind === 'stale') {
         await this.#services.quarantine.decided(this.#context);
       }
-      if (!this.#log.takeRetry()) {
+      if (!this.#attemptLog.takeRetry()) {
         this.#giveUp(this.#context.isQuarantined() ? 'quarantined' : 'not-run');
         return;
       }
@@ -110,7 +118,7 @@
     }
   }
 
-  #giveBack(target: Target | NoTarget): void {
+  #releaseClaim(target: Target | NoTarget): void {
     if (isTarget(target)) {
       this.#services.eligibility.giveBack(target.host);
     }
@@ -119,33 +127,38 @@
   #query(): TargetQuery {
     const { service, homes } = this.#context;
     const homeRegions = homes.inForce();
-    return { service, model: undefined, homeRegions, exclude: this.#log.tried };
+    return { service, model: undefined, homeRegions, exclude: this.#attemptLog.tried };
   }
 
-  // A failure of the host itself, or an answer that may be incomplete, is worth another try only where the
-  // call may run again.
-  #worthRetrying(answer: WholeAnswer): boolean {
-    const doubtful = (answer.head.statusCode ?? 0) >= 500 || !isFramed(answer.head);
-    return doubtful && mayRepeat(this.#context.route);
+  // After a failure of the host, or an answer that may be incomplete, a request is retried only if it may run more
+  // than once.
+  #isWorthRetrying(answer: CompleteAnswer): boolean {
+    const isFailedOrUnframed = (answer.head.statusCode ?? 0) >= 500 || !isFramed(answer.head);
+    return isFailedOrUnframed && mayRepeat(this.#context.route);
   }
 
   #attempt(target: Target): Promise<AttemptEnd> {
     const { gone, deadline, request, body } = this.#context;
-    const { activities, headers: names } = this.#services;
+    const { activities, headers: headerNames } = this.#services;
     const sentAt = monotonicMs();
-    const standing = standingAtSend(this.#services, target.host, sentAt);
+    const stateAtSend = standingAtSend(this.#services, target.host, sentAt);
     const chunks: Buffer[] = [];
     let bytes = 0;
     let head: IncomingMessage | undefined;
-    this.#log.noteSent(target.host);
+    this.#attemptLog.noteSent(target.host);
     activities.enter(target.host.id);
     return new Promise(resolve => {
-      const finish = (end: AttemptEnd): void => {
-        limit.cancel();
-        unguard();
-        gone.removeEventListener('abort', onGone);
+      const settle = (end: AttemptEnd): void => {
+        timeout.cancel();
+        removeGuard();
+        gone.removeEventListener('abort', cancel);
         activities.leave(target.host.id, false);
-        this.#learn({ target, end, ms: monotonicMs() - sentAt, standing });
+        this.#recordEnd({
+          target,
+          end,
+          durationMs: monotonicMs() - sentAt,
+          stateAtSend,
+        });
         resolve(end);
       };
       const exchange = startExchange(
@@ -153,7 +166,7 @@
           host: target.host,
           method: request.method ?? 'GET',
           url: request.url ?? '/',
-          headers: upstreamHeaders(this.#context, names, target, undefined),
+          headers: upstreamHeaders(this.#context, headerNames, target, undefined),
           body,
           connections: connectionsFor(this.#services, this.#context),
           connects: activities.connects,
@@ -175,74 +188,79 @@
             }
           },
           ended: end => {
-            finish(this.#judge(end, head, Buffer.concat(chunks)));
+            settle(this.#classifyEnd(end, head, Buffer.concat(chunks)));
           },
         },
       );
-      const onGone = (): void => {
+      const cancel = (): void => {
         exchange.cancel();
       };
-      gone.addEventListener('abort', onGone);
-      const unguard = this.#services.quarantine.guard(this.#context, onGone);
-      const limit = afterTurn(onGone, this.#attemptLimitMs(deadline));
+      gone.addEventListener('abort', cancel);
+      const removeGuard = this.#services.quarantine.guard(this.#context, cancel);
+      const timeout = afterTurn(cancel, this.#attemptTimeoutMs(deadline));
     });
   }
 
-  // A call that may run again is not waited for longer than the objective while others are left.
-  #attemptLimitMs(deadline: number): number {
-    const left = deadline - DEADLINE_MARGIN_MS - monotonicMs();
-    const more = mayRepeat(this.#context.route) && this.#log.canRetry();
-    return Math.max(1, more ? Math.min(left, this.#context.route.objectiveMs * 1.5) : left);
+  // While a retry is possible, an attempt ends after a multiple of the objective, so that time is left for the retry.
+  #attemptTimeoutMs(deadline: number): number {
+    const remainingMs = deadline - DEADLINE_MARGIN_MS - monotonicMs();
+    const hasAlternative = mayRepeat(this.#context.route) && this.#attemptLog.canRetry();
+    return Math.max(
+      1,
+      hasAlternative
+        ? Math.min(remainingMs, this.#context.route.objectiveMs * ATTEMPT_OBJECTIVE_FACTOR)
+        : remainingMs,
+    );
   }
 
-  #judge(end: ExchangeEnd, head: IncomingMessage | undefined, body: Buffer): AttemptEnd {
-    const names = this.#services.headers;
+  #classifyEnd(end: ExchangeEnd, head: IncomingMessage | undefined, body: Buffer): AttemptEnd {
+    const headerNames = this.#services.headers;
     if (isUnsent(end)) {
       return { kind: end };
     }
     if (this.#context.gone.aborted) {
-      this.#log.noteMayRun();
+      this.#attemptLog.noteMayRun();
       return { kind: 'gone' };
     }
-    if (head !== undefined && saysNotRun(head, names.notExecuted)) {
-      this.#log.noteRejected();
+    if (head !== undefined && saysNotRun(head, headerNames.notExecuted)) {
+      this.#attemptLog.noteRejected();
       return { kind: 'not-run' };
     }
-    this.#log.noteMayRun();
+    this.#attemptLog.noteMayRun();
     if (end === 'stale') {
       return { kind: 'stale' };
     }
     if (end !== 'whole' || head === undefined) {
       return { kind: 'lost', detail: end };
     }
-    if (head.headers[names.requestId] !== this.#context.id) {
-      return { kind: 'lost', detail: 'answer of another request' };
+    if (head.headers[headerNames.requestId] !== this.#context.id) {
+      return { kind: 'lost', detail: 'answer belongs to another request' };
     }
-    const ok = (head.statusCode ?? 0) < 300;
-    if (ok && head.headers[names.answerStamp] === undefined) {
-      return { kind: 'lost', detail: 'answer without stamp' };
+    const isSuccess = (head.statusCode ?? 0) < 300;
+    if (isSuccess && head.headers[headerNames.answerStamp] === undefined) {
+      return { kind: 'lost', detail: 'answer stamp header is missing' };
     }
     if (head.headers['content-encoding'] !== undefined) {
-      return { kind: 'lost', detail: 'encoded answer' };
+      return { kind: 'lost', detail: 'answer has a content encoding' };
     }
     return { kind: 'answered', answer: { head, body } };
   }
 
-  #learn({ target, end, ms, standing }: EndedAttempt): void {
+  #recordEnd({ target, end, durationMs, stateAtSend }: EndedAttempt): void {
     const { activities, counters, log, quarantine } = this.#services;
     counters.count('attempts_total', { kind: 'plain', end: end.kind });
     if (end.kind === 'answered') {
       quarantine.runCompleted(this.#context);
     } else if (end.kind === 'stale' || (end.kind === 'lost' && isBroken(end.detail))) {
-      quarantine.runLost(this.#context, target.host, ms);
+      quarantine.runLost(this.#context, target.host, durationMs);
     }
     if (isUnsent(end.kind)) {
-      this.#log.noteNeverSent();
+      this.#attemptLog.noteNeverSent();
     }
     if (end.kind === 'answered' && (end.answer.head.statusCode ?? 0) < 500) {
       activities.noteProgress(target.host);
       const kind = kindOf(this.#context.service.name, undefined);
-      activities.noteFirst(target.host.id, ms, kind);
+      activities.noteFirst(target.host.id, durationMs, kind);
     } else if (!['gone', 'withheld', 'crowded'].includes(end.kind)) {
       if (end.kind === 'never-sent') {
         activities.noteUnreachable(target.host);
@@ -256,20 +274,20 @@
         status: end.kind === 'answered' ? end.answer.head.statusCode : undefined,
         detail: end.kind === 'lost' ? end.detail : undefined,
         fingerprint: end.kind === 'lost' ? this.#context.fingerprint() : undefined,
-        afterMs: Math.round(ms),
-        ...standing,
+        afterMs: Math.round(durationMs),
+        ...stateAtSend,
       });
     }
   }
 
-  #passOn(answer: WholeAnswer): void {
+  #relayAnswer(answer: CompleteAnswer): void {
     const { response, route, arrivedAt } = this.#context;
     const { counters, latencies } = this.#services;
-    const headers = endToEndHeaders(answer.head.rawHeaders, NOTHING_DROPPED);
+    const headers = endToEndHeaders(answer.head.rawHeaders, DROPPED_HEADERS);
     if (isFramed(answer.head)) {
       headers.push('Content-Length', String(answer.body.length));
     } else {
-      // The connection's end is the only end this answer had, so it gets no other one here.
+      // Only the end of the connection marked the end of the host's answer, so the caller's connection is closed too.
       response.useChunkedEncodingByDefault = false;
       response.shouldKeepAlive = false;
     }
@@ -280,8 +298,8 @@
   }
 
   #giveUp(reason: GiveUpReason, targets?: string): void {
-    if (this.#lastFailure !== undefined) {
-      this.#passOn(this.#lastFailure);
+    if (this.#lastFailedAnswer !== undefined) {
+      this.#relayAnswer(this.#lastFailedAnswer);
       return;
     }
     const answer = this.#finalAnswer(reason);
@@ -294,9 +312,9 @@
       status: answer.status,
       reason: answer.reason,
       targets,
-      // Names the verdict that kept it from the hosts.
+      // Identifies the quarantine verdict for which the request was withheld.
       fingerprint: answer.reason === 'quarantined' ? this.#context.fingerprint() : undefined,
-      sentTo: this.#log.sentTo,
+      sentTo: this.#attemptLog.sentTo,
       heldMs: Math.round(monotonicMs() - arrivedAt),
     });
     giveFinalAnswer(response, answer);
@@ -304,27 +322,27 @@
 
   #finalAnswer(reason: GiveUpReason): FinalAnswer {
     if (reason === 'quarantined') {
-      return quarantinedAnswer(this.#log.mayHaveRun);
+      return quarantinedAnswer(this.#attemptLog.mayHaveRun);
     }
-    if (!this.#log.mayHaveRun) {
-      const usualMs = needsOperator(reason) ? RETRY_AFTER_NO_HOST_MS : RETRY_AFTER_MS;
-      const waitMs = retryAfterMs(this.#services, this.#query(), usualMs);
+    if (!this.#attemptLog.mayHaveRun) {
+      const defaultMs = needsOperator(reason) ? RETRY_AFTER_NO_HOST_MS : RETRY_AFTER_MS;
+      const waitMs = retryAfterMs(this.#services, this.#query(), defaultMs);
       return { status: 503, reason, retryAfterMs: waitMs };
     }
-    const late = this.#context.deadline - monotonicMs() < 2 * DEADLINE_MARGIN_MS;
-    return late
+    const isDeadlineNear = this.#context.deadline - monotonicMs() < 2 * DEADLINE_MARGIN_MS;
+    return isDeadlineNear
       ? { status: 504, reason: 'deadline-passed' }
       : { status: 502, reason: 'upstream-lost' };
   }
 }
 
-/** False when only the end of the connection ends the answer, so that it may be incomplete. */
+/** False if only the end of the connection marks the end of the answer, which may then be incomplete. */
 export function isFramed(head: IncomingMessage): boolean {
   const { headers } = head;
   return headers['content-length'] !== undefined || headers['transfer-encoding'] !== undefined;
 }
 
-/** True when the host says that it has not run the request and will not. */
+/** True if the answer states that the host has not run the request and will not run it. */
 export function saysNotRun(head: IncomingMessage, notExecuted: string): boolean {
-  return head.headers[notExecuted] !== undefined || head.statusCode === 421;
+  return head.headers[notExecuted] !== undefined || head.statusCode === MISDIRECTED_REQUEST;
 }
--- a/packages/entry/src/requests/stall-limits.ts
+++ b/packages/entry/src/requests/stall-limits.ts
@@ -1,111 +1,124 @@
 /**
- * Decides after which silence a stalled run is reported to other entry hosts, and after which a second
- * attempt is started: a hedged one beside the run, or one in place of a run that counts as lost. Pure.
+ * Decides after how much silence a stalled attempt is reported to other entry hosts, and after how much a second
+ * attempt starts: a hedged one beside the first, or a replacement for an attempt that counts as lost. Pure functions.
  *
- * A second attempt processes the whole prompt again, which slows its group down for others. Before the
- * first event it pays in two cases only: it can still meet the objective, or the first run will not go on
- * at all. Within a stream a report also tells other entry hosts that the group is slow.
+ * A second attempt processes the whole prompt again, which slows down other requests of its replica group. Before
+ * the first event it is worthwhile in two cases only: it can still meet the objective, or the first attempt will
+ * never continue. Within a stream, a report also informs other entry hosts that the group is slow.
  */
 
-/** What is known of a run that is silent. */
+/** Known state of an attempt that delivers no events at present. */
 export type SilentRun = {
-  /** Its first event has come. */
+  /** True once its first event has been received. */
   readonly begun: boolean;
-  /** It resumes a stream after an event of an earlier run, since which its caller has been waiting. */
+  /** True if it resumes a stream after an event of an earlier attempt; the caller has waited since that event. */
   readonly resumed: boolean;
-  /** Other streams at the host progress meanwhile: it is busy, not lost. */
+  /** True while other streams at the host progress: the host is busy, not lost. */
   readonly hostServesOthers: boolean;
-  /** The host is unreachable, its entry has gone, or its group lacks a member. */
+  /** True if the host is unreachable, its entry was removed, or its replica group lacks a member. */
   readonly isGone: boolean;
+  /** Objective of the route for the time to the first event, in milliseconds. */
   readonly objectiveMs: number;
+  /** Target of the route for the time between two events, in milliseconds. */
   readonly gapTargetMs: number;
-  /** Usual time to the first event of the model, in milliseconds; undefined while not known. */
+  /** Usual time to the first event for this model, in milliseconds; undefined while it is not known. */
   readonly typicalFirstMs: number | undefined;
 };
 
-/** Silences in milliseconds. */
+/** Limits on the silence of an attempt, in milliseconds. */
 export type StallLimits = {
-  /** The group is reported, so that new requests go to others. */
+  /** Silence after which the group is reported, so that new requests go to other groups. */
   readonly reportMs: number;
-  /** A second attempt starts. */
+  /** Silence after which a second attempt starts. */
   readonly secondAttemptMs: number;
-  /** The run counts as lost: an attempt that starts then replaces it and may use the whole budget. */
+  /** Silence after which the attempt counts as lost; an attempt that replaces it may use the whole retry budget. */
   readonly lostMs: number;
 };
 
 /**
- * Gaps above this part of the target are outliers. A usual gap is a small part of the target; a group with
- * one member that is five times slower shows gaps below the target itself, and has to be noticed too.
+ * Gaps above this multiple of the gap target are outliers. A usual gap is a small fraction of the target. A group
+ * with one member that is five times slower has gaps below the target itself, and has to be detected too.
  */
-const GAP_REPORT_PART = 0.6;
-/** Silence after which a second attempt starts where its first event can still come within the target. */
-const GAP_SECOND_PART = 0.6;
+const GAP_REPORT_FACTOR = 0.6;
+/** Silence after which a second attempt starts if its first event can still meet the gap target, in gap targets. */
+const GAP_SECOND_ATTEMPT_FACTOR = 0.6;
 /**
- * Silence after which it starts where it usually can't: longer than the target and than most pauses that
- * end by themselves, many of which end just after the target. An attempt that was not needed uses up one of
- * the route's attempts, which the stream then lacks when its group is lost later.
+ * Silence after which a second attempt starts if it usually can't meet the gap target, in gap targets. It is longer
+ * than most pauses that end by themselves, many of which end just after the target. An unnecessary attempt uses up
+ * one of the route's attempts, which the stream lacks if its group is lost later.
  */
-const GAP_SECOND_LATE_PART = 1.25;
-/** The same at a host that serves others meanwhile: most such pauses end by themselves. */
-const GAP_BUSY_PART = 2.5;
-/** Silence after which it starts where the host is known to be lost, of the objective or gap target. */
-const GONE_PART = 0.6;
-/** Times to the first event above this multiple of the usual one are outliers; long prompts stay below. */
-const FIRST_OUTLIER_FACTOR = 2.5;
-/** Multiple of the usual time to the first event before which a second attempt is hardly the faster one. */
-const FIRST_SECOND_FACTOR = 1.5;
-/** Silence before the first event after which a run is reported at the latest, of the objective. */
-const FIRST_LATE_PART = 1.4;
+const GAP_LATE_SECOND_ATTEMPT_FACTOR = 1.25;
+/** The same limit at a host whose other streams progress, in gap targets: most such pauses end by themselves. */
+const GAP_BUSY_HOST_FACTOR = 2.5;
+/** Silence after which a second attempt starts if the host is lost, as a fraction of the objective or gap target. */
+const LOST_HOST_FACTOR = 0.6;
+/** Times to the first event above this multiple of the usual time are outliers; long prompts stay below it. */
+const FIRST_EVENT_OUTLIER_FACTOR = 2.5;
 /**
- * Silence after which a request that missed its objective gets a second attempt, as a multiple of the
- * objective: late enough that most slow first events have come, and early enough that callers, who wait for
- * some objectives, have not left.
+ * A second attempt starts in time for the objective only if the first attempt has by then been silent for this
+ * multiple of the usual time to the first event. Earlier, the second attempt is rarely the faster one.
  */
-const FIRST_SECOND_LATE_PART = 2.5;
+const FIRST_EVENT_IN_TIME_FACTOR = 1.5;
+/** Silence before the first event after which an attempt is reported at the latest, as a multiple of the objective. */
+const FIRST_EVENT_REPORT_FACTOR = 1.4;
 /**
- * Silence after which a run counts as lost, at a host of which no stream progresses, in gap targets. Less
- * than callers wait for (eight and more), since a run at another host needs some to begin.
+ * Silence after which a request that missed its objective gets a second attempt, as a multiple of the objective. By
+ * then most slow first events have arrived, and callers, who wait for several objectives, have not disconnected yet.
  */
-const GAP_LOST_PART = 3;
-/** Objective for the first event of a resumed run, in gap targets: its caller has been waiting already. */
-const RESUMED_GAPS = 2;
+const FIRST_EVENT_LATE_SECOND_ATTEMPT_FACTOR = 2.5;
+/**
+ * Silence after which an attempt counts as lost if no stream of its host progresses, in gap targets. Callers wait for
+ * eight gap targets or more; this is less, since an attempt at another host needs some of that time to begin.
+ */
+const GAP_LOST_FACTOR = 3;
+/** Objective for the first event of a resumed attempt, in gap targets: its caller has already been waiting. */
+const RESUMED_OBJECTIVE_GAPS = 2;
 
-/** The limits of a run in its present state. */
-export function stallLimits(run: SilentRun): StallLimits {
-  const limits = run.begun ? gapLimits(run) : firstLimits(run);
-  if (!run.isGone) {
+/** Limits for an attempt in its present state. */
+export function stallLimits(attempt: SilentRun): StallLimits {
+  const limits = attempt.begun ? gapLimits(attempt) : firstEventLimits(attempt);
+  if (!attempt.isGone) {
     return limits;
   }
-  const soonMs = (run.begun ? run.gapTargetMs : run.objectiveMs) * GONE_PART;
-  const secondAttemptMs = Math.min(limits.secondAttemptMs, soonMs);
+  const lostHostMs = (attempt.begun ? attempt.gapTargetMs : attempt.objectiveMs) * LOST_HOST_FACTOR;
+  const secondAttemptMs = Math.min(limits.secondAttemptMs, lostHostMs);
   return { ...limits, secondAttemptMs, lostMs: secondAttemptMs };
 }
 
 function gapLimits({ gapTargetMs, hostServesOthers, typicalFirstMs }: SilentRun): StallLimits {
   if (hostServesOthers) {
-    const busyMs = gapTargetMs * GAP_BUSY_PART;
+    const busyMs = gapTargetMs * GAP_BUSY_HOST_FACTOR;
     return { reportMs: busyMs, secondAttemptMs: busyMs, lostMs: Infinity };
   }
-  const inTimeMs = gapTargetMs * (1 - GAP_SECOND_PART);
-  const rescues = typicalFirstMs !== undefined && typicalFirstMs <= inTimeMs;
+  const remainingMs = gapTargetMs * (1 - GAP_SECOND_ATTEMPT_FACTOR);
+  const canMeetTarget = typicalFirstMs !== undefined && typicalFirstMs <= remainingMs;
   return {
-    reportMs: gapTargetMs * GAP_REPORT_PART,
-    secondAttemptMs: gapTargetMs * (rescues ? GAP_SECOND_PART : GAP_SECOND_LATE_PART),
-    lostMs: gapTargetMs * GAP_LOST_PART,
+    reportMs: gapTargetMs * GAP_REPORT_FACTOR,
+    secondAttemptMs:
+      gapTargetMs * (canMeetTarget ? GAP_SECOND_ATTEMPT_FACTOR : GAP_LATE_SECOND_ATTEMPT_FACTOR),
+    lostMs: gapTargetMs * GAP_LOST_FACTOR,
   };
 }
 
-function firstLimits(run: SilentRun): StallLimits {
-  const { objectiveMs, gapTargetMs, typicalFirstMs, resumed } = run;
-  const aimMs = resumed ? gapTargetMs * RESUMED_GAPS : objectiveMs;
-  const lateMs = aimMs * FIRST_LATE_PART;
-  const secondLateMs = aimMs * FIRST_SECOND_LATE_PART;
+function firstEventLimits(attempt: SilentRun): StallLimits {
+  const { objectiveMs, gapTargetMs, typicalFirstMs, resumed } = attempt;
+  const effectiveObjectiveMs = resumed ? gapTargetMs * RESUMED_OBJECTIVE_GAPS : objectiveMs;
+  const latestReportMs = effectiveObjectiveMs * FIRST_EVENT_REPORT_FACTOR;
+  const lateSecondAttemptMs = effectiveObjectiveMs * FIRST_EVENT_LATE_SECOND_ATTEMPT_FACTOR;
   if (typicalFirstMs === undefined) {
-    return { reportMs: lateMs, secondAttemptMs: secondLateMs, lostMs: secondLateMs };
+    return {
+      reportMs: latestReportMs,
+      secondAttemptMs: lateSecondAttemptMs,
+      lostMs: lateSecondAttemptMs,
+    };
   }
-  const reportMs = Math.min(lateMs, typicalFirstMs * FIRST_OUTLIER_FACTOR);
-  // The latest moment at which a second attempt would usually still meet the objective.
+  const reportMs = Math.min(latestReportMs, typicalFirstMs * FIRST_EVENT_OUTLIER_FACTOR);
+  // Latest silence at which a second attempt would usually still meet the objective.
   const inTimeMs = objectiveMs - typicalFirstMs;
-  const rescues = !resumed && inTimeMs >= typicalFirstMs * FIRST_SECOND_FACTOR;
-  return { reportMs, secondAttemptMs: rescues ? inTimeMs : secondLateMs, lostMs: secondLateMs };
+  const canMeetObjective = !resumed && inTimeMs >= typicalFirstMs * FIRST_EVENT_IN_TIME_FACTOR;
+  return {
+    reportMs,
+    secondAttemptMs: canMeetObjective ? inTimeMs : lateSecondAttemptMs,
+    lostMs: lateSecondAttemptMs,
+  };
 }
--- a/packages/entry/src/requests/stall-monitor.test.ts
+++ b/packages/entry/src/requests/stall-monitor.test.ts
@@ -9,7 +9,7 @@
 
 /** An attempt whose limit passes `limitMs` after its last progress. */
 class FakeAttempt {
-  readonly looks: number[] = [];
+  readonly checkTimes: number[] = [];
   lastProgressAt = monotonicMs();
   stalledAt: number | undefined;
   readonly #limitMs: number;
@@ -19,7 +19,7 @@
   }
 
   look(now: number): number {
-    this.looks.push(now);
+    this.checkTimes.push(now);
     const left = this.lastProgressAt + this.#limitMs - now;
     if (left <= 0) {
       this.stalledAt ??= now;
@@ -29,7 +29,7 @@
 }
 
 describe('stall monitor', () => {
-  it('wakes up seldom while attempts go on', async () => {
+  it('checks rarely while attempts progress', async () => {
     const monitor = new StallMonitor();
     const attempt = new FakeAttempt(200);
     monitor.add(attempt);
@@ -39,10 +39,10 @@
     }
     monitor.remove(attempt);
     expect(attempt.stalledAt).to.equal(undefined);
-    expect(attempt.looks.length).to.be.at.most(8);
+    expect(attempt.checkTimes.length).to.be.at.most(8);
   });
 
-  it('notices each attempt as its own limit passes, whichever was added first', async () => {
+  it('detects the stall of each attempt at its own limit, in whatever order they were added', async () => {
     const monitor = new StallMonitor();
     const startedAt = monotonicMs();
     const patient = new FakeAttempt(400);
@@ -58,15 +58,15 @@
     monitor.remove(urgent);
   });
 
-  it('looks again soon while an attempt stays stalled, and not after it has ended', async () => {
+  it('checks frequently while an attempt stays stalled, and not after it was removed', async () => {
     const monitor = new StallMonitor();
     const attempt = new FakeAttempt(1);
     monitor.add(attempt);
     await wait(150);
     monitor.remove(attempt);
-    const looks = attempt.looks.length;
-    expect(looks).to.be.at.least(4);
+    const checks = attempt.checkTimes.length;
+    expect(checks).to.be.at.least(4);
     await wait(100);
-    expect(attempt.looks.length).to.equal(looks);
+    expect(attempt.checkTimes.length).to.equal(checks);
   });
 });
--- a/packages/entry/src/requests/stall-monitor.ts
+++ b/packages/entry/src/requests/stall-monitor.ts
@@ -1,55 +1,55 @@
-/** Looks at open attempts when one of them may have stalled. */
+/** Checks running attempts for stalls. */
 import { monotonicMs } from '../server/time.js';
 
-/** An attempt that can stall. */
+/** An attempt that the monitor checks for stalls. */
 export type Stallable = {
   /**
-   * Called at each look; decides by itself what a stall is, and gives the milliseconds after which
-   * the next look can find one.
+   * Checks whether the attempt has stalled, by its own criteria; `now` in monotonic milliseconds. Returns the time in
+   * milliseconds after which the next check can find a stall.
    */
   readonly look: (now: number) => number;
 };
 
-/** Least time between two looks, in milliseconds: how late a stall may be noticed. */
-const LEAST_PERIOD_MS = 25;
+/** Shortest time between two checks, in milliseconds: a stall may be noticed this much late. */
+const MIN_CHECK_INTERVAL_MS = 25;
 
 /**
- * One timer for all attempts, due when the first of them may have stalled.
+ * Checks all attempts with one timer, which is due when the first of them may have stalled.
  *
- * Attempts that go on are looked at about once in their limit. At a few streams a host and limits of
- * 150 ms this is 7 wake-ups a second; a fixed period of 25 ms made 40, a third of all wake-ups.
+ * Attempts that progress are checked about once per limit. With a few streams per host and limits of 150 ms this
+ * causes 7 wake-ups a second. A fixed period of 25 ms caused 40, a third of all wake-ups of the process.
  */
 export class StallMonitor {
   readonly #attempts = new Set<Stallable>();
-  #timer: NodeJS.Timeout | undefined;
+  #checkTimer: NodeJS.Timeout | undefined;
   #dueAt = Infinity;
 
-  /** Looks at an attempt until it is removed. */
+  /** Checks an attempt, now and until it is removed. */
   add(attempt: Stallable): void {
     this.#attempts.add(attempt);
     const now = monotonicMs();
     this.#schedule(now, attempt.look(now));
   }
 
-  /** Looks at all attempts in this turn of the event loop: something was learned that shortens their limits. */
+  /** Checks all attempts in this turn of the event loop, after a report that shortens their limits. */
   lookSoon(): void {
     setImmediate(() => {
       if (this.#attempts.size > 0) {
-        this.#look();
+        this.#checkAll();
       }
     });
   }
 
-  /** The attempt is over. */
+  /** Ends the checks of an attempt that is over. */
   remove(attempt: Stallable): void {
     this.#attempts.delete(attempt);
     if (this.#attempts.size === 0) {
-      this.#cancel();
+      this.#cancelTimer();
     }
   }
 
-  #look(): void {
-    this.#cancel();
+  #checkAll(): void {
+    this.#cancelTimer();
     const now = monotonicMs();
     let nextMs = Infinity;
     for (const attempt of [...this.#attempts]) {
@@ -61,19 +61,19 @@
   }
 
   #schedule(now: number, afterMs: number): void {
-    const waitMs = Math.max(LEAST_PERIOD_MS, afterMs);
+    const waitMs = Math.max(MIN_CHECK_INTERVAL_MS, afterMs);
     if (now + waitMs >= this.#dueAt) {
       return;
     }
-    this.#cancel();
+    this.#cancelTimer();
     this.#dueAt = now + waitMs;
-    this.#timer = setTimeout(() => {
-      this.#look();
+    this.#checkTimer = setTimeout(() => {
+      this.#checkAll();
     }, waitMs);
   }
 
-  #cancel(): void {
-    clearTimeout(this.#timer);
+  #cancelTimer(): void {
+    clearTimeout(this.#checkTimer);
     this.#dueAt = Infinity;
   }
 }
--- a/packages/entry/src/requests/stream-attempt.ts
+++ b/packages/entry/src/requests/stream-attempt.ts
@@ -1,4 +1,4 @@
-/** One run of a stream at one host. */
+/** One attempt of a stream request: sends it to one host and reads the answer. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 
 import { kindOf } from '../routing/host-activity.js';
@@ -18,55 +18,63 @@
 import { standingAtSend } from './standing-at-send.js';
 import { upstreamHeaders } from './upstream-request.js';
 
-/** How a run ended. */
+/** How an attempt ended. */
 export type StreamAttemptEnd =
   | { readonly kind: 'complete' }
+  /** The host answered that it has not run the request. */
   | { readonly kind: 'not-run' }
-  /** Nothing of it has left this process. */
+  /** Nothing of the request has left this process. */
   | { readonly kind: UnsentEnd }
-  /** The host answered with a failure of its own. */
+  /** The host answered with a status other than 200. */
   | { readonly kind: 'failed'; readonly head: IncomingMessage; readonly body: Buffer }
-  /** Another attempt went on instead. */
+  /** Cancelled, since another attempt delivered events first. */
   | { readonly kind: 'superseded' }
-  /** The kept connection that it went on was closed or reset; it may have run. */
+  /** The kept connection that carried the request was closed or reset; the request may have run. */
   | { readonly kind: 'stale' }
+  /** The request may have run, but its answer is incomplete or invalid. */
   | { readonly kind: 'lost'; readonly detail: string };
 
-/** What a run is given by its relay. */
+/** Options and callbacks that the relay passes to an attempt. */
 export type StreamAttemptOptions = {
+  /** Id of the event after which the host is to resume the stream; undefined: from the start. */
   readonly lastEventId: string | undefined;
-  /** Bytes of an answer that is the own one. */
+  /** Called with the bytes of a valid answer with status 200. */
   readonly events: (chunk: Buffer) => void;
   /**
-   * The run is stalled; called at each check while it is. `isLost`: for so long that it counts as lost, and
-   * another attempt replaces it.
+   * Called at each check while the attempt is stalled. `isLost` is true once it has been silent for so long that it
+   * counts as lost and may be replaced by another attempt.
    */
   readonly stalled: (isLost: boolean) => void;
 };
 
-/** Times without progress in milliseconds, and the limit that was passed. */
-type Stall = { readonly silence: number; readonly hostSilence: number; readonly limit: number };
+/** Times without progress of an attempt and of all streams of its host, and the limit exceeded, in milliseconds. */
+type Stall = {
+  readonly silenceMs: number;
+  readonly hostSilenceMs: number;
+  readonly limitMs: number;
+};
 
-const MAX_FAILURE_BYTES = 256 * 1024;
+/** Longest body of a failure answer that is buffered, in bytes; later bytes are dropped. */
+const MAX_ERROR_BODY_BYTES = 256 * 1024;
 
-/** One run. */
+/** Sends a stream request to one host and reports its events, stalls and end. */
 export class StreamAttempt {
   readonly #context: RequestContext;
   readonly #services: RelayServices;
   readonly #target: Target;
   readonly #options: StreamAttemptOptions;
   readonly #startedAt = monotonicMs();
-  readonly #failureChunks: Buffer[] = [];
+  readonly #errorBodyChunks: Buffer[] = [];
   #exchange: Exchange | undefined;
-  #standing: StandingAtSend | undefined;
+  #stateAtSend: StandingAtSend | undefined;
   #head: IncomingMessage | undefined;
-  #invalid: string | undefined;
-  #superseded = false;
-  #suspected = false;
-  #paused = false;
-  #begun = false;
+  #invalidReason: string | undefined;
+  #isSuperseded = false;
+  #isStallReported = false;
+  #isPaused = false;
+  #hasBegun = false;
   #lastProgressAt = this.#startedAt;
-  #failureBytes = 0;
+  #errorBodyBytes = 0;
 
   constructor(
     context: RequestContext,
@@ -80,18 +88,18 @@
     this.#options = options;
   }
 
-  /** Head of the answer, once it has come and is the own one. */
+  /** Head (status and headers) of the answer; undefined until it is received. */
   get head(): IncomingMessage | undefined {
     return this.#head;
   }
 
-  /** Sends the request and reads its answer. */
+  /** Sends the request and reads its answer to the end. */
   run(): Promise<StreamAttemptEnd> {
-    const { activities, stalls, headers: names } = this.#services;
+    const { activities, stalls, headers: headerNames } = this.#services;
     const { request, body } = this.#context;
     const { host } = this.#target;
     const hostId = host.id;
-    this.#standing = standingAtSend(this.#services, this.#target.host, monotonicMs());
+    this.#stateAtSend = standingAtSend(this.#services, this.#target.host, monotonicMs());
     activities.enter(hostId);
     stalls.add(this);
     return new Promise(resolve => {
@@ -100,7 +108,12 @@
           host: this.#target.host,
           method: request.method ?? 'POST',
           url: request.url ?? '/',
-          headers: upstreamHeaders(this.#context, names, this.#target, this.#options.lastEventId),
+          headers: upstreamHeaders(
+            this.#context,
+            headerNames,
+            this.#target,
+            this.#options.lastEventId,
+          ),
           body,
           connections: connectionsFor(this.#services, this.#context),
           connects: activities.connects,
@@ -113,16 +126,16 @@
         },
         {
           head: answer => {
-            this.#takeHead(answer);
+            this.#receiveHead(answer);
           },
           data: chunk => {
-            this.#takeData(chunk);
+            this.#receiveData(chunk);
           },
-          ended: how => {
+          ended: exchangeEnd => {
             stalls.remove(this);
-            activities.leave(hostId, this.#begun);
-            const end = this.#judge(how);
-            this.#learn(end);
+            activities.leave(hostId, this.#hasBegun);
+            const end = this.#classifyEnd(exchangeEnd);
+            this.#recordEnd(end);
             resolve(end);
           },
         },
@@ -130,60 +143,65 @@
     });
   }
 
-  /** Gives the run up. */
+  /** Cancels the attempt. */
   cancel(): void {
     this.#exchange?.cancel();
   }
 
-  /** Gives the run up because another attempt has delivered. */
+  /** Cancels the attempt because another one has delivered events. */
   supersede(): void {
-    this.#superseded = true;
+    this.#isSuperseded = true;
     this.#exchange?.cancel();
   }
 
-  /** Stops reading until the caller has taken what was written. */
+  /** Stops reading until the data written to the caller's response has drained. */
   pauseUntilDrained(response: ServerResponse): void {
-    if (this.#paused) {
+    if (this.#isPaused) {
       return;
     }
-    this.#paused = true;
+    this.#isPaused = true;
     this.#exchange?.pause();
     response.once('drain', () => {
-      this.#paused = false;
+      this.#isPaused = false;
       this.#lastProgressAt = monotonicMs();
       this.#exchange?.resume();
     });
   }
 
   /**
-   * Decides whether the run has stalled; called by the stall monitor. Gives the milliseconds after
-   * which the next look can find a stall.
+   * Checks whether the attempt has stalled; called by the stall monitor. Returns the time in milliseconds after which
+   * the next check can find a stall.
    */
   look(now: number): number {
-    const silence = now - this.#lastProgressAt;
+    const silenceMs = now - this.#lastProgressAt;
     const { activities } = this.#services;
     const { lastProgressAt } = activities.of(this.#target.host.id);
-    const hostSilence = now - Math.max(lastProgressAt, this.#startedAt);
-    const limits = this.#limits(hostSilence < silence - 1);
-    const leftMs = Math.min(limits.reportMs, limits.secondAttemptMs) - silence;
-    if (this.#paused || leftMs > 0) {
+    const hostSilenceMs = now - Math.max(lastProgressAt, this.#startedAt);
+    // The host serves others if its last progress is later than that of this attempt, by more than 1 ms.
+    const limits = this.#limits(hostSilenceMs < silenceMs - 1);
+    const leftMs = Math.min(limits.reportMs, limits.secondAttemptMs) - silenceMs;
+    if (this.#isPaused || leftMs > 0) {
       return Math.max(0, leftMs);
     }
-    if (silence >= limits.reportMs) {
-      this.#suspectOnce({ silence, hostSilence, limit: limits.reportMs });
+    if (silenceMs >= limits.reportMs) {
+      this.#reportStallOnce({
+        silenceMs,
+        hostSilenceMs,
+        limitMs: limits.reportMs,
+      });
     }
-    if (silence >= limits.secondAttemptMs) {
-      this.#options.stalled(silence >= limits.lostMs);
+    if (silenceMs >= limits.secondAttemptMs) {
+      this.#options.stalled(silenceMs >= limits.lostMs);
     }
-    const nextMs = Math.max(limits.reportMs, limits.secondAttemptMs) - silence;
+    const nextMs = Math.max(limits.reportMs, limits.secondAttemptMs) - silenceMs;
     return Math.max(0, nextMs);
   }
 
-  #suspectOnce({ silence, hostSilence, limit }: Stall): void {
-    if (this.#suspected) {
+  #reportStallOnce({ silenceMs, hostSilenceMs, limitMs }: Stall): void {
+    if (this.#isStallReported) {
       return;
     }
-    this.#suspected = true;
+    this.#isStallReported = true;
     const { activities, log } = this.#services;
     const { host, group } = this.#target;
     activities.noteFailure(host.id);
@@ -191,16 +209,16 @@
       request: this.#context.id,
       host: host.id,
       group: group?.name,
-      begun: this.#begun,
-      silentMs: Math.round(silence),
-      hostSilentMs: Math.round(hostSilence),
-      limitMs: Math.round(limit),
+      begun: this.#hasBegun,
+      silentMs: Math.round(silenceMs),
+      hostSilentMs: Math.round(hostSilenceMs),
+      limitMs: Math.round(limitMs),
     });
-    this.#suspect(false);
+    this.#reportSuspectTarget(false);
   }
 
-  // Tells the other entry hosts, and the host that gives orders, that the group may be lost or slow.
-  #suspect(isUnreachable: boolean): void {
+  // Reports to the other entry hosts and to the lease holder that the replica group may be lost or slow.
+  #reportSuspectTarget(isUnreachable: boolean): void {
     this.#services.suspect(this.#target, isUnreachable);
   }
 
@@ -208,7 +226,7 @@
     const { route, service, model } = this.#context;
     const { activities, chooser, isUnreachable } = this.#services;
     return stallLimits({
-      begun: this.#begun,
+      begun: this.#hasBegun,
       resumed: this.#options.lastEventId !== this.#context.lastEventId,
       hostServesOthers,
       isGone: isUnreachable(this.#target) || chooser.isLost(this.#target),
@@ -218,27 +236,27 @@
     });
   }
 
-  #takeHead(answer: IncomingMessage): void {
-    const names = this.#services.headers;
-    if (answer.headers[names.requestId] !== this.#context.id) {
-      this.#invalid = 'answer of another request';
-    } else if (answer.statusCode === 200 && answer.headers[names.answerStamp] === undefined) {
-      this.#invalid = 'answer without stamp';
+  #receiveHead(answer: IncomingMessage): void {
+    const headerNames = this.#services.headers;
+    if (answer.headers[headerNames.requestId] !== this.#context.id) {
+      this.#invalidReason = 'answer belongs to another request';
+    } else if (answer.statusCode === 200 && answer.headers[headerNames.answerStamp] === undefined) {
+      this.#invalidReason = 'answer stamp header is missing';
     } else if (answer.headers['content-encoding'] !== undefined) {
-      this.#invalid = 'encoded answer';
+      this.#invalidReason = 'answer has a content encoding';
     }
     this.#head = answer;
-    const notRun = saysNotRun(answer, names.notExecuted);
-    if (this.#invalid !== undefined && !notRun) {
+    const isNotRun = saysNotRun(answer, headerNames.notExecuted);
+    if (this.#invalidReason !== undefined && !isNotRun) {
       this.#exchange?.cancel();
     }
   }
 
-  #takeData(chunk: Buffer): void {
-    if (this.#head?.statusCode !== 200 || this.#invalid !== undefined) {
-      this.#failureBytes += chunk.length;
-      if (this.#failureBytes <= MAX_FAILURE_BYTES) {
-        this.#failureChunks.push(chunk);
+  #receiveData(chunk: Buffer): void {
+    if (this.#head?.statusCode !== 200 || this.#invalidReason !== undefined) {
+      this.#errorBodyBytes += chunk.length;
+      if (this.#errorBodyBytes <= MAX_ERROR_BODY_BYTES) {
+        this.#errorBodyChunks.push(chunk);
       }
       return;
     }
@@ -247,8 +265,8 @@
     const now = monotonicMs();
     this.#lastProgressAt = now;
     activities.noteProgress(this.#target.host);
-    if (!this.#begun) {
-      this.#begun = true;
+    if (!this.#hasBegun) {
+      this.#hasBegun = true;
       activities.begin(hostId);
       const { service, model } = this.#context;
       activities.noteFirst(hostId, now - this.#startedAt, kindOf(service.name, model));
@@ -256,39 +274,39 @@
     this.#options.events(chunk);
   }
 
-  #judge(how: ExchangeEnd): StreamAttemptEnd {
+  #classifyEnd(exchangeEnd: ExchangeEnd): StreamAttemptEnd {
     const head = this.#head;
-    if (isUnsent(how)) {
-      return { kind: how };
+    if (isUnsent(exchangeEnd)) {
+      return { kind: exchangeEnd };
     }
     if (
       head !== undefined &&
       saysNotRun(head, this.#services.headers.notExecuted) &&
-      !this.#begun
+      !this.#hasBegun
     ) {
       return { kind: 'not-run' };
     }
-    if (this.#superseded) {
+    if (this.#isSuperseded) {
       return { kind: 'superseded' };
     }
-    if (how === 'stale') {
+    if (exchangeEnd === 'stale') {
       return { kind: 'stale' };
     }
-    if (this.#invalid !== undefined || head === undefined) {
-      return { kind: 'lost', detail: this.#invalid ?? how };
+    if (this.#invalidReason !== undefined || head === undefined) {
+      return { kind: 'lost', detail: this.#invalidReason ?? exchangeEnd };
     }
-    if (how !== 'whole') {
-      return { kind: 'lost', detail: how };
+    if (exchangeEnd !== 'whole') {
+      return { kind: 'lost', detail: exchangeEnd };
     }
     if (head.statusCode !== 200) {
-      return { kind: 'failed', head, body: Buffer.concat(this.#failureChunks) };
+      return { kind: 'failed', head, body: Buffer.concat(this.#errorBodyChunks) };
     }
-    // Where the connection's end is the only end, the stream may lack its last events.
+    // If only the end of the connection ends the answer, the last events may be missing.
     return isFramed(head) ? { kind: 'complete' } : { kind: 'lost', detail: 'unframed' };
   }
 
-  // Cancelled runs tell nothing: their hosts may go on.
-  #tellQuarantine(end: StreamAttemptEnd): void {
+  // Cancelled attempts are not reported, since their hosts may continue the run.
+  #reportToQuarantine(end: StreamAttemptEnd): void {
     const { quarantine } = this.#services;
     if (end.kind === 'complete' || end.kind === 'failed') {
       quarantine.runCompleted(this.#context);
@@ -297,18 +315,18 @@
     }
   }
 
-  #learn(end: StreamAttemptEnd): void {
-    const { activities, counters, log, headers: names } = this.#services;
+  #recordEnd(end: StreamAttemptEnd): void {
+    const { activities, counters, log, headers: headerNames } = this.#services;
     counters.count('attempts_total', { kind: 'stream', end: end.kind });
-    this.#tellQuarantine(end);
-    const saysNothing = ['complete', 'withheld', 'crowded'].includes(end.kind);
-    if (saysNothing || this.#context.gone.aborted) {
+    this.#reportToQuarantine(end);
+    const isInconclusive = ['complete', 'withheld', 'crowded'].includes(end.kind);
+    if (isInconclusive || this.#context.gone.aborted) {
       return;
     }
-    // A stalled run has been noted already, when it was suspected.
+    // The failure of a stalled attempt was already recorded when the stall was detected.
     if (end.kind === 'never-sent') {
       activities.noteUnreachable(this.#target.host);
-      this.#suspect(true);
+      this.#reportSuspectTarget(true);
     } else if (end.kind !== 'superseded' && end.kind !== 'stale') {
       activities.noteFailure(this.#target.host.id);
     }
@@ -319,13 +337,13 @@
       end: end.kind,
       status: this.#head?.statusCode,
       detail: end.kind === 'lost' ? end.detail : undefined,
-      // Told for lost runs only: they alone may have ended their host.
+      // Logged for lost attempts only, since only their requests may have crashed the host.
       fingerprint: end.kind === 'lost' ? this.#context.fingerprint() : undefined,
-      faultyHost: headerText(this.#head, names.faultyHost),
-      begun: this.#begun,
+      faultyHost: headerText(this.#head, headerNames.faultyHost),
+      begun: this.#hasBegun,
       afterMs: Math.round(monotonicMs() - this.#startedAt),
       silentMs: Math.round(monotonicMs() - this.#lastProgressAt),
-      ...this.#standing,
+      ...this.#stateAtSend,
     });
   }
 }
--- a/packages/entry/src/requests/stream-relay.test.ts
+++ b/packages/entry/src/requests/stream-relay.test.ts
@@ -1,4 +1,4 @@
-/** Streams whose hosts stall, send a part of an event or end, one fault in each test. */
+/** Streams whose hosts stall, send part of an event or end; one failure per test. */
 import type { ServerResponse } from 'node:http';
 
 import { expect } from 'chai';
@@ -17,11 +17,11 @@
   return ids.map(id => `id: ${id}\ndata: ${id}\n\n`).join('');
 }
 
-describe('a stream of a caller', () => {
+describe('a relayed stream', () => {
   const hosts: UpstreamStandIn[] = [];
 
-  async function targets(...answer: ((response: ServerResponse) => void)[]): Promise<Target[]> {
-    hosts.push(...answer.map(one => new UpstreamStandIn(one)));
+  async function targets(...handlers: ((response: ServerResponse) => void)[]): Promise<Target[]> {
+    hosts.push(...handlers.map(handler => new UpstreamStandIn(handler)));
     return Promise.all(hosts.map((host, index) => host.listen(`h${index}`)));
   }
 
@@ -31,12 +31,12 @@
     });
   });
 
-  it('goes on beside a host that tears an event as it ends', async () => {
+  it('continues with the second attempt if the first host ends within an event', async () => {
     const queue = await targets(
       response => {
         response.writeHead(200, HEAD);
         response.write(events(1, 2));
-        // Silent until a second attempt runs, then a part of an event, then the end of the connection.
+        // Silent until a second attempt runs; then sends part of an event and closes the connection.
         setTimeout(() => response.write('id: 3\nda'), 300);
         setTimeout(() => response.destroy(), 340);
       },
@@ -53,7 +53,7 @@
     expect(answer.status).to.equal(200);
   });
 
-  it('moves soon when the entry of its silent host has gone', async () => {
+  it('moves to another host early if the entry of its silent host was removed', async () => {
     const queue = await targets(
       () => undefined,
       response => {
@@ -71,7 +71,7 @@
     expect(Date.now() - startedAt).to.be.below(objectiveMs);
   });
 
-  it('that has begun waits for the allowance of a repeat instead of breaking', async () => {
+  it('that has begun waits for the retry budget instead of failing', async () => {
     const queue = await targets(
       response => {
         response.writeHead(200, HEAD);
@@ -91,7 +91,7 @@
     expect(answer.body).to.equal(events(1, 4));
   });
 
-  it('that waits for the allowance ends without a word when its caller leaves', async () => {
+  it('that waits for the retry budget is not counted as cut if its caller disconnects', async () => {
     const queue = await targets(response => {
       response.writeHead(200, HEAD);
       response.write(events(1, 2));
@@ -110,7 +110,7 @@
     expect(cut).to.equal(0);
   });
 
-  it('is sent nowhere any more when its wait ends too close to the deadline', async () => {
+  it('is sent to no other host if its wait ends too close to the deadline', async () => {
     const queue = await targets(
       response => {
         response.writeHead(200, HEAD);
@@ -128,7 +128,7 @@
     expect(hosts[1]?.seen).to.deep.equal([]);
   });
 
-  it('that no host ran is refused at once when there is no allowance', async () => {
+  it('that no host ran is refused at once if the retry budget is exhausted', async () => {
     const queue = await targets(response => {
       response.writeHead(503, { ...HEAD, 'x-not-executed': '1' }).end();
     });
--- a/packages/entry/src/requests/stream-relay.ts
+++ b/packages/entry/src/requests/stream-relay.ts
@@ -1,6 +1,6 @@
 /**
- * Relays streams event by event. A stream that breaks or stalls goes on at another host
- * behind its last whole event, within one answer that keeps the head of its first host.
+ * Relays streams of server-sent events. A stream that breaks or stalls is resumed at another host after its last
+ * complete event, within the same answer to the caller, which keeps the head sent for the first host.
  */
 import type { IncomingMessage } from 'node:http';
 
@@ -24,42 +24,43 @@
 import { StreamAttempt } from './stream-attempt.js';
 import type { NoTargetReason } from './wait-for-target.js';
 
+/** Time before the deadline at which attempts end, in milliseconds, so that the final answer is sent in time. */
 const DEADLINE_MARGIN_MS = 15;
-/** Period in which a broken stream asks the retry budget again, in milliseconds. */
+/** Interval at which a broken stream checks the retry budget again, in milliseconds. */
 const BUDGET_POLL_MS = 50;
 const EVENT_END = '\n\n';
-const NOTHING = Buffer.alloc(0);
+const NO_BYTES = Buffer.alloc(0);
 const DROPPED_HEADERS: ReadonlySet<string> = new Set(['content-length']);
 
 /** Why a stream ends without another attempt. */
 type GiveUpReason = NoTargetReason | 'not-run' | 'overloaded';
 
-/** One stream of a caller. */
+/** Relays one stream of a caller. */
 export class StreamRelay {
   readonly #context: RequestContext;
   readonly #services: RelayServices;
-  readonly #log: AttemptLog;
-  readonly #events: EventForwarder;
+  readonly #attemptLog: AttemptLog;
+  readonly #eventSplitter: EventForwarder;
   readonly #running = new Set<StreamAttempt>();
   /** The attempt whose events are passed on. */
   #leader: StreamAttempt | undefined;
-  /** Bytes of attempts that do not lead, held back until they hold a whole event. */
-  readonly #aside = new Map<StreamAttempt, Buffer>();
-  #finishSend: ((end: StreamAttemptEnd) => void) | undefined;
-  /** The last answer of a host that was a failure: better than one of our own when nothing follows. */
-  #failure: IncomingMessage | undefined;
-  #failureBody: Buffer | undefined;
+  /** Bytes of attempts other than the leader, held back until they contain a complete event. */
+  readonly #heldBack = new Map<StreamAttempt, Buffer>();
+  #resolveSend: ((end: StreamAttemptEnd) => void) | undefined;
+  /** Head of the last failure that a host answered; preferred to an own error answer if no other attempt follows. */
+  #failedHead: IncomingMessage | undefined;
+  #failedBody: Buffer | undefined;
   #lastSentAt = 0;
 
   constructor(context: RequestContext, services: RelayServices) {
     this.#context = context;
     this.#services = services;
     const budget = services.budgetOf(context.service.name);
-    this.#log = new AttemptLog(context, budget);
-    this.#events = new EventForwarder(context.lastEventId);
+    this.#attemptLog = new AttemptLog(context, budget);
+    this.#eventSplitter = new EventForwarder(context.lastEventId);
   }
 
-  /** Runs the stream to its end, at as many hosts as it may. */
+  /** Relays the stream to its end, with as many attempts as the route and the retry budget allow. */
   async run(): Promise<void> {
     const { gone, deadline } = this.#context;
     if (this.#isRefused()) {
@@ -72,13 +73,13 @@
       });
     };
     gone.addEventListener('abort', cancel);
-    const unguard = this.#services.quarantine.guard(this.#context, cancel);
-    const limit = afterTurn(cancel, Math.max(1, deadline - DEADLINE_MARGIN_MS - monotonicMs()));
+    const removeGuard = this.#services.quarantine.guard(this.#context, cancel);
+    const timeout = afterTurn(cancel, Math.max(1, deadline - DEADLINE_MARGIN_MS - monotonicMs()));
     try {
-      await this.#attempts();
+      await this.#runAttempts();
     } finally {
-      limit.cancel();
-      unguard();
+      timeout.cancel();
+      removeGuard();
       gone.removeEventListener('abort', cancel);
     }
   }
@@ -88,13 +89,13 @@
     return isRefused(this.#services.chooser, this.#query(), objectiveMs, Math.random());
   }
 
-  async #attempts(): Promise<void> {
+  async #runAttempts(): Promise<void> {
     const { gone } = this.#context;
     for (;;) {
       const query = (): TargetQuery => this.#query();
       const target = await awaitTarget(this.#services, this.#context, query);
       if (gone.aborted) {
-        this.#giveBack(target);
+        this.#releaseClaim(target);
         return;
       }
       if (!isTarget(target)) {
@@ -109,11 +110,11 @@
       if (end.kind === 'lost' || end.kind === 'stale') {
         await this.#services.quarantine.decided(this.#context);
       }
-      const mayGoOn = await this.#mayGoOn();
+      const mayRetry = await this.#awaitRetry();
       if (gone.aborted) {
         return;
       }
-      if (!mayGoOn) {
+      if (!mayRetry) {
         this.#giveUp(this.#context.isQuarantined() ? 'quarantined' : 'not-run');
         return;
       }
@@ -121,11 +122,12 @@
     }
   }
 
-  // A stream that has begun waits for room in the retry budget: failing it would lose what its caller has.
-  async #mayGoOn(): Promise<boolean> {
+  // Returns whether another attempt may start. A stream that has begun waits for the retry budget: if it failed, the
+  // caller would lose the events received so far.
+  async #awaitRetry(): Promise<boolean> {
     const { gone, response } = this.#context;
-    while (!this.#log.takeRetry()) {
-      if (!response.headersSent || !this.#log.canRetry()) {
+    while (!this.#attemptLog.takeRetry()) {
+      if (!response.headersSent || !this.#attemptLog.canRetry()) {
         return false;
       }
       await sleep(BUDGET_POLL_MS, gone);
@@ -133,8 +135,8 @@
     return true;
   }
 
-  // A claimed target will not be sent the stream after all.
-  #giveBack(target: Target | NoTarget): void {
+  // Releases the claim on a target to which the stream is not sent after all.
+  #releaseClaim(target: Target | NoTarget): void {
     if (isTarget(target)) {
       this.#services.eligibility.giveBack(target.host);
     }
@@ -142,88 +144,89 @@
 
   #query(): TargetQuery {
     const { service, model, homes } = this.#context;
-    return { service, model, homeRegions: homes.inForce(), exclude: this.#log.tried };
+    return { service, model, homeRegions: homes.inForce(), exclude: this.#attemptLog.tried };
   }
 
-  // While an attempt is stalled a second one may run beside it; the first that goes on wins, so
-  // that a wrong suspicion never ends an answer.
+  // Resolves when an attempt completes the stream, or when none is running any more. While an attempt is stalled, a
+  // hedged one may run beside it. The one that delivers the next complete event first is continued, so an attempt that
+  // was wrongly taken for stalled does not end the answer.
   #send(target: Target): Promise<StreamAttemptEnd> {
-    this.#events.restart();
+    this.#eventSplitter.restart();
     return new Promise(resolve => {
-      this.#finishSend = resolve;
-      this.#leader = this.#start(target);
+      this.#resolveSend = resolve;
+      this.#leader = this.#startAttempt(target);
     });
   }
 
-  #start(target: Target): StreamAttempt {
-    this.#log.noteSent(target.host);
+  #startAttempt(target: Target): StreamAttempt {
+    this.#attemptLog.noteSent(target.host);
     const attempt: StreamAttempt = new StreamAttempt(this.#context, this.#services, target, {
-      lastEventId: this.#events.lastEventId,
+      lastEventId: this.#eventSplitter.lastEventId,
       events: chunk => {
-        this.#take(attempt, chunk);
+        this.#receiveBytes(attempt, chunk);
       },
       stalled: isLost => {
-        this.#startBackup(attempt, isLost ? 'lost' : 'beside');
+        this.#startSecondAttempt(attempt, isLost ? 'lost' : 'beside');
       },
     });
     this.#running.add(attempt);
     void attempt.run().then(end => {
-      this.#ended(attempt, end);
+      this.#attemptEnded(attempt, end);
     });
     return attempt;
   }
 
-  #startBackup(stalled: StreamAttempt, reason: RepeatReason): void {
+  #startSecondAttempt(stalled: StreamAttempt, reason: RepeatReason): void {
     const query = this.#query();
     const { chooser, counters } = this.#services;
-    const possible = stalled === this.#leader && this.#running.size === 1;
-    if (!possible || !this.#log.couldMove(reason) || !chooser.hasSound(query)) {
+    const isAllowed = stalled === this.#leader && this.#running.size === 1;
+    if (!isAllowed || !this.#attemptLog.couldMove(reason) || !chooser.hasSound(query)) {
       return;
     }
     const target = claimTarget(this.#services, query);
     if (target === undefined) {
       return;
     }
-    if (!this.#log.takeRetry(reason)) {
-      this.#giveBack(target);
+    if (!this.#attemptLog.takeRetry(reason)) {
+      this.#releaseClaim(target);
       return;
     }
     counters.count('retries_total', { service: 'engine', after: 'stalled' });
-    this.#start(target);
+    this.#startAttempt(target);
   }
 
-  // A host that shuts down may still send a part of an event; only a whole event makes its attempt the
-  // leader and cancels the other one.
-  #take(attempt: StreamAttempt, chunk: Buffer): void {
+  // A host that shuts down may still send part of an event. Only a complete event makes its attempt the leader and
+  // cancels the other one.
+  #receiveBytes(attempt: StreamAttempt, chunk: Buffer): void {
     if (attempt === this.#leader) {
       if (this.#forward(chunk)) {
-        this.#lead(attempt);
+        this.#confirmLeader(attempt);
       }
       return;
     }
-    const bytes = Buffer.concat([this.#asideOf(attempt), chunk]);
-    this.#aside.set(attempt, bytes);
+    const bytes = Buffer.concat([this.#heldBackOf(attempt), chunk]);
+    this.#heldBack.set(attempt, bytes);
     if (bytes.includes(EVENT_END)) {
-      this.#lead(attempt);
+      this.#confirmLeader(attempt);
     }
   }
 
-  #asideOf(attempt: StreamAttempt): Buffer {
-    return this.#aside.get(attempt) ?? NOTHING;
+  #heldBackOf(attempt: StreamAttempt): Buffer {
+    return this.#heldBack.get(attempt) ?? NO_BYTES;
   }
 
   #makeLeader(attempt: StreamAttempt): void {
     this.#leader = attempt;
-    this.#events.restart();
-    const bytes = this.#asideOf(attempt);
-    this.#aside.delete(attempt);
+    this.#eventSplitter.restart();
+    const bytes = this.#heldBackOf(attempt);
+    this.#heldBack.delete(attempt);
     if (bytes.length > 0) {
       this.#forward(bytes);
     }
   }
 
-  // The attempt has delivered a whole event: the other one, if any, is cancelled.
-  #lead(attempt: StreamAttempt): void {
+  // Makes an attempt that delivered a complete event the leader, and cancels the other one, if any.
+  #confirmLeader(attempt: StreamAttempt): void {
     if (attempt !== this.#leader) {
       this.#makeLeader(attempt);
     }
@@ -234,44 +237,48 @@
     }
   }
 
-  #ended(attempt: StreamAttempt, end: StreamAttemptEnd): void {
+  #attemptEnded(attempt: StreamAttempt, end: StreamAttemptEnd): void {
     this.#running.delete(attempt);
-    this.#note(end);
-    const pending =
-      attempt === this.#leader ? this.#events.pendingBytes : this.#asideOf(attempt).length;
-    const torn = end.kind === 'complete' && pending > 0;
-    if (end.kind === 'complete' && !torn) {
-      this.#lead(attempt);
-      // A stream of which nothing was left has a head all the same.
+    this.#recordEnd(end);
+    const pendingBytes =
+      attempt === this.#leader
+        ? this.#eventSplitter.pendingBytes
+        : this.#heldBackOf(attempt).length;
+    const isTruncated = end.kind === 'complete' && pendingBytes > 0;
+    if (end.kind === 'complete' && !isTruncated) {
+      this.#confirmLeader(attempt);
+      // A stream that had no events left to send still needs a head.
       this.#sendHead(attempt.head);
-      this.#finishSend?.(end);
+      this.#resolveSend?.(end);
       return;
     }
     const [other] = this.#running;
     if (other === undefined) {
-      this.#finishSend?.(torn ? { kind: 'lost', detail: 'torn' } : end);
+      this.#resolveSend?.(
+        isTruncated ? { kind: 'lost', detail: 'incomplete event at the end' } : end,
+      );
     } else if (attempt === this.#leader) {
       this.#makeLeader(other);
     }
   }
 
-  #note(end: StreamAttemptEnd): void {
+  #recordEnd(end: StreamAttemptEnd): void {
     if (isUnsent(end.kind)) {
-      this.#log.noteNeverSent();
+      this.#attemptLog.noteNeverSent();
     } else if (end.kind === 'not-run') {
-      this.#log.noteRejected();
+      this.#attemptLog.noteRejected();
     } else {
-      this.#log.noteMayRun();
+      this.#attemptLog.noteMayRun();
     }
     if (end.kind === 'failed') {
-      this.#failure = end.head;
-      this.#failureBody = end.body;
+      this.#failedHead = end.head;
+      this.#failedBody = end.body;
     }
   }
 
-  // True when at least one whole event has gone out.
+  // Sends the complete events to the caller; returns false if there were none.
   #forward(chunk: Buffer): boolean {
-    const events = this.#events.feed(chunk);
+    const events = this.#eventSplitter.feed(chunk);
     if (events === undefined) {
       return false;
     }
@@ -311,25 +318,25 @@
     const answer = this.#finalAnswer(reason);
     counters.count('answers_total', {
       kind: route.kind,
-      status: response.headersSent ? 'cut' : String(this.#failure?.statusCode ?? answer.status),
+      status: response.headersSent ? 'cut' : String(this.#failedHead?.statusCode ?? answer.status),
     });
     log.warn('request given up', {
       request: id,
       route: route.name,
-      status: this.#failure?.statusCode ?? answer.status,
+      status: this.#failedHead?.statusCode ?? answer.status,
       reason: answer.reason,
       targets,
-      events: this.#events.batches,
-      // Names the verdict that kept it from the hosts.
+      events: this.#eventSplitter.batches,
+      // Identifies the quarantine verdict for which the request was withheld.
       fingerprint: answer.reason === 'quarantined' ? this.#context.fingerprint() : undefined,
-      sentTo: this.#log.sentTo,
+      sentTo: this.#attemptLog.sentTo,
       heldMs: Math.round(monotonicMs() - arrivedAt),
     });
-    if (this.#failure !== undefined && !response.headersSent) {
-      const headers = endToEndHeaders(this.#failure.rawHeaders, DROPPED_HEADERS);
-      const body = this.#failureBody ?? Buffer.alloc(0);
+    if (this.#failedHead !== undefined && !response.headersSent) {
+      const headers = endToEndHeaders(this.#failedHead.rawHeaders, DROPPED_HEADERS);
+      const body = this.#failedBody ?? Buffer.alloc(0);
       headers.push('Content-Length', String(body.length));
-      response.writeHead(this.#failure.statusCode ?? 502, headers);
+      response.writeHead(this.#failedHead.statusCode ?? 502, headers);
       response.end(body);
       return;
     }
@@ -338,17 +345,17 @@
 
   #finalAnswer(reason: GiveUpReason): FinalAnswer {
     if (reason === 'quarantined') {
-      return quarantinedAnswer(this.#log.mayHaveRun);
+      return quarantinedAnswer(this.#attemptLog.mayHaveRun);
     }
-    if (!this.#log.mayHaveRun) {
+    if (!this.#attemptLog.mayHaveRun) {
       const anyHost = { ...this.#query(), exclude: new Set<string>() };
-      const isAnySound = this.#services.chooser.hasSound(anyHost);
-      const usualMs = isAnySound ? RETRY_AFTER_MS : RETRY_AFTER_NO_HOST_MS;
-      const waitMs = retryAfterMs(this.#services, anyHost, usualMs);
+      const hasSoundTarget = this.#services.chooser.hasSound(anyHost);
+      const defaultMs = hasSoundTarget ? RETRY_AFTER_MS : RETRY_AFTER_NO_HOST_MS;
+      const waitMs = retryAfterMs(this.#services, anyHost, defaultMs);
       return { status: 503, reason, retryAfterMs: waitMs };
     }
-    const late = this.#context.deadline - monotonicMs() < 3 * DEADLINE_MARGIN_MS;
-    return late
+    const isDeadlineNear = this.#context.deadline - monotonicMs() < 3 * DEADLINE_MARGIN_MS;
+    return isDeadlineNear
       ? { status: 504, reason: 'deadline-passed' }
       : { status: 502, reason: 'upstream-lost' };
   }
--- a/packages/entry/src/requests/upstream-connections.test.ts
+++ b/packages/entry/src/requests/upstream-connections.test.ts
@@ -1,4 +1,4 @@
-/** Kept connections, and why new ones are opened. */
+/** Tests how long connections are kept, and the causes reported for new ones. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { get } from 'node:http';
 import type { Socket } from 'node:net';
@@ -9,15 +9,16 @@
 import { UpstreamStandIn } from '../testing/relay.js';
 import { UpstreamConnections } from './upstream-connections.js';
 
+/** A pool of connections to one upstream host, and what was observed of it. */
 type Upstream = {
   readonly connections: UpstreamConnections;
-  /** One call after the other; gives when it is answered. */
+  /** Sends a request; resolves when its answer has been received. */
   readonly call: () => Promise<void>;
-  /** Why connections were opened, in turn. */
+  /** Causes of the opened connections, in order. */
   readonly causes: string[];
-  /** Idle times that were announced. */
+  /** Announced idle times, in milliseconds. */
   readonly announced: number[];
-  /** Connections as the upstream sees them. */
+  /** Connections at the side of the upstream host. */
   readonly sockets: Set<Socket>;
   readonly close: () => void;
 };
@@ -48,8 +49,8 @@
   return { connections, call, causes, announced, sockets, close };
 }
 
-// The agent puts a connection among the idle ones a moment after the end of the answer.
-const TAKE_BACK_MS = 20;
+// The agent returns a connection to its pool of idle ones shortly after the end of the answer.
+const RETURN_TO_POOL_MS = 20;
 
 describe('connections to upstream hosts', () => {
   let upstream: Upstream;
@@ -58,29 +59,29 @@
     upstream.close();
   });
 
-  it('are used again where the upstream announces no more than a second', async () => {
+  it('are reused if the upstream host announces a timeout of only a second', async () => {
     upstream = await upstreamOf({ connection: 'keep-alive', 'keep-alive': 'timeout=1' });
     for (let count = 0; count < 3; count += 1) {
       await upstream.call();
-      await sleep(TAKE_BACK_MS);
+      await sleep(RETURN_TO_POOL_MS);
     }
     expect(upstream.causes).to.deep.equal(['first']);
     expect(upstream.announced).to.deep.equal([1_000]);
   });
 
-  it('are closed from this side before the upstream does', async () => {
+  it('are closed by this process before the upstream host closes them', async () => {
     upstream = await upstreamOf({ connection: 'keep-alive', 'keep-alive': 'timeout=1' });
     await upstream.call();
     const idleSince = monotonicMs();
     const [socket] = upstream.sockets;
     await new Promise(resolve => socket?.once('close', resolve));
     expect(monotonicMs() - idleSince).to.be.within(650, 950);
-    await sleep(TAKE_BACK_MS);
+    await sleep(RETURN_TO_POOL_MS);
     await upstream.call();
     expect(upstream.causes).to.deep.equal(['first', 'idle-closed']);
   });
 
-  it('are kept for longer than usual where the upstream announces more', async () => {
+  it('are kept for longer than the default if the upstream host announces more', async () => {
     upstream = await upstreamOf({ connection: 'keep-alive', 'keep-alive': 'timeout=10' });
     expect(upstream.connections.idleMs).to.equal(4_000);
     await upstream.call();
@@ -90,29 +91,29 @@
     expect(upstream.causes).to.deep.equal(['first']);
   });
 
-  it('are not used again once the upstream has closed them while idle', async () => {
+  it('are not reused once the upstream host has closed them while idle', async () => {
     upstream = await upstreamOf({ connection: 'keep-alive', 'keep-alive': 'timeout=10' });
     await upstream.call();
-    await sleep(TAKE_BACK_MS);
+    await sleep(RETURN_TO_POOL_MS);
     upstream.sockets.forEach(socket => socket.resetAndDestroy());
-    await sleep(TAKE_BACK_MS);
+    await sleep(RETURN_TO_POOL_MS);
     await upstream.call();
     expect(upstream.causes).to.deep.equal(['first', 'peer-closed']);
   });
 
-  it('are opened beside those that are busy, and anew after an answer that ends its own', async () => {
+  it('are opened if the others are busy, and after an answer that closed its connection', async () => {
     upstream = await upstreamOf({ connection: 'close' }, 30);
     await Promise.all([upstream.call(), upstream.call()]);
-    await sleep(TAKE_BACK_MS);
+    await sleep(RETURN_TO_POOL_MS);
     await upstream.call();
     expect(upstream.causes).to.deep.equal(['first', 'busy', 'not-kept']);
   });
 
-  it('are kept idle up to a share of what the upstream bears', async () => {
+  it('are kept idle up to the limit that was set', async () => {
     upstream = await upstreamOf({ connection: 'keep-alive', 'keep-alive': 'timeout=10' }, 30);
     upstream.connections.keepIdle(2.5);
     await Promise.all(Array.from({ length: 4 }, () => upstream.call()));
-    await sleep(TAKE_BACK_MS);
+    await sleep(RETURN_TO_POOL_MS);
     await Promise.all(Array.from({ length: 4 }, () => upstream.call()));
     expect(upstream.sockets.size).to.equal(6);
   });
--- a/packages/entry/src/requests/upstream-connections.ts
+++ b/packages/entry/src/requests/upstream-connections.ts
@@ -1,8 +1,8 @@
 /**
  * Connections to upstream hosts, kept for later requests.
  *
- * A kept connection on which bytes arrive while no request is waiting is closed: those bytes belong
- * to no request. One is kept for as long as its upstream announces, less a margin.
+ * An idle connection is kept for as long as its upstream host announces, less a margin. If bytes arrive on it while no
+ * request is waiting, it is closed, since those bytes belong to no request.
  */
 import type { ClientRequest, IncomingMessage } from 'node:http';
 import { Agent } from 'node:http';
@@ -11,45 +11,48 @@
 
 import { announcedIdleMs, keptIdleMs, USUAL_IDLE_MS } from './connection-reuse.js';
 
-/** Why a connection was opened although connections are kept. */
+/** Why no kept connection could be used, so that a new one was opened. */
 export type ConnectionCause =
-  /** The first one to this host, as far as this process remembers. */
+  /** It is the first connection to this host, as far as this process remembers. */
   | 'first'
-  /** All others to the host have requests in progress. */
+  /** All other connections to the host have requests in progress. */
   | 'busy'
-  /** The one before was idle for as long as it may be, and was closed from this side. */
+  /** The previous connection reached its idle limit and was closed by this process. */
   | 'idle-closed'
-  /** The one before was closed by the upstream, or reset, while idle. */
+  /** The previous connection was closed or reset by the upstream host while idle. */
   | 'peer-closed'
-  /** The one before was closed with its answer by the upstream, or with a request that was cancelled. */
+  /**
+   * The previous connection was closed by the upstream host with its answer, together with a cancelled request, or
+   * because bytes arrived while it was idle.
+   */
   | 'not-kept';
 
-/** Receives what happens to the connections. */
+/** Callbacks for events of the connections. */
 export type ConnectionObserver = {
-  /** One was opened. */
+  /** Called when a connection is opened. */
   readonly opened: (cause: ConnectionCause) => void;
-  /** An upstream has announced another idle time than the last one, in milliseconds. */
+  /** Called when a host announces an idle time other than the last one announced, in milliseconds. */
   readonly announced: (idleMs: number) => void;
 };
 
-/** Idle connections that are kept to one host. */
+/** Most idle connections that are kept per host. */
 const MAX_IDLE_PER_HOST = 8;
-/** Hosts whose last close is remembered; beyond, all are forgotten and count as `first`. */
-const MOST_REMEMBERED = 4_000;
+/** Most hosts whose last close is remembered; at this number all are dropped, and next connections count as `first`. */
+const MAX_REMEMBERED_HOSTS = 4_000;
 
 /** Listeners on an idle connection. */
-type IdleWatch = {
+type IdleListeners = {
   readonly data: () => void;
   readonly timeout: () => void;
   readonly close: () => void;
 };
 
-/** An agent that watches its idle connections. */
+/** An HTTP agent that closes idle connections in time and reports why it opens new ones. */
 export class UpstreamConnections extends Agent {
   readonly #observer: ConnectionObserver | undefined;
-  readonly #watches = new WeakMap<Duplex, IdleWatch>();
-  readonly #names = new WeakMap<Duplex, string>();
-  readonly #lastEnds = new Map<string, ConnectionCause>();
+  readonly #idleListeners = new WeakMap<Duplex, IdleListeners>();
+  readonly #agentKeys = new WeakMap<Duplex, string>();
+  readonly #lastCloseCauses = new Map<string, ConnectionCause>();
   #announcedMs: number | undefined;
 
   constructor(maxPerHost: number, observer?: ConnectionObserver) {
@@ -63,70 +66,70 @@
     this.#observer = observer;
   }
 
-  /** Time for which idle connections are kept now, in milliseconds. */
+  /** Time for which idle connections are kept by the last announcement, in milliseconds. */
   get idleMs(): number {
     return keptIdleMs(this.#announcedMs);
   }
 
-  /** Sets how many idle connections are kept to one host, at least one and at most `MAX_IDLE_PER_HOST`. */
+  /** Sets how many idle connections are kept per host: at least one and at most `MAX_IDLE_PER_HOST`. */
   keepIdle(mostPerHost: number): void {
     this.maxFreeSockets = Math.max(1, Math.min(MAX_IDLE_PER_HOST, Math.floor(mostPerHost)));
   }
 
-  /** True while an idle connection to the host is kept. */
+  /** True if an idle connection to the host is kept. */
   hasIdleTo(ip: string, port: number): boolean {
     return (this.freeSockets[this.getName({ host: ip, port })]?.length ?? 0) > 0;
   }
 
-  /** Closes the idle connections to one host, after one of them has failed or got no answer. */
+  /** Closes the idle connections to a host, after one of them has failed or brought no answer. */
   closeIdleTo(ip: string, port: number): void {
-    const name = this.getName({ host: ip, port });
-    this.freeSockets[name]?.forEach(socket => {
+    const agentKey = this.getName({ host: ip, port });
+    this.freeSockets[agentKey]?.forEach(socket => {
       socket.destroy();
     });
   }
 
-  // The agent calls this for each connection that it opens.
+  // Called by the agent for each connection that it opens.
   override createConnection(
     options: TcpNetConnectOpts,
     callback?: (error: Error | null, stream: Duplex) => void,
   ): Duplex | null | undefined {
-    const name = this.getName(options as { host: string; port: number });
-    const isBusy = (this.sockets[name]?.length ?? 0) > 0;
-    this.#observer?.opened(isBusy ? 'busy' : (this.#lastEnds.get(name) ?? 'first'));
-    if (this.#lastEnds.size >= MOST_REMEMBERED) {
-      this.#lastEnds.clear();
+    const agentKey = this.getName(options as { host: string; port: number });
+    const isBusy = (this.sockets[agentKey]?.length ?? 0) > 0;
+    this.#observer?.opened(isBusy ? 'busy' : (this.#lastCloseCauses.get(agentKey) ?? 'first'));
+    if (this.#lastCloseCauses.size >= MAX_REMEMBERED_HOSTS) {
+      this.#lastCloseCauses.clear();
     }
-    this.#lastEnds.set(name, 'not-kept');
+    this.#lastCloseCauses.set(agentKey, 'not-kept');
     const socket = super.createConnection(options as never, callback as never);
     if (socket !== null && socket !== undefined) {
-      this.#names.set(socket, name);
+      this.#agentKeys.set(socket, agentKey);
     }
     return socket;
   }
 
   override keepSocketAlive(socket: Duplex): boolean {
-    // Called for what it does to the connection; its result (declared as void) is ignored: the agent refuses
-    // an announced timeout of 1 s, and never keeps a connection beyond its own timeout.
+    // The base method is called for its effects on the connection only. Its result (declared as void) is ignored,
+    // since the agent refuses an announced timeout of 1 s and never keeps a connection beyond its own timeout.
     (super.keepSocketAlive as (socket: Duplex) => boolean).call(this, socket);
-    const announcedMs = announcedIdleMs(keepAliveOf(socket));
+    const announcedMs = announcedIdleMs(keepAliveHeaderOf(socket));
     this.#noteAnnounced(announcedMs);
     const idleMs = keptIdleMs(announcedMs);
     if (idleMs === 0) {
       return false;
     }
     (socket as Socket).setTimeout(idleMs);
-    this.#watch(socket);
+    this.#listenWhileIdle(socket);
     return true;
   }
 
   override reuseSocket(socket: Duplex, request: ClientRequest): void {
-    const watch = this.#watches.get(socket);
-    if (watch !== undefined) {
-      socket.removeListener('data', watch.data);
-      socket.removeListener('timeout', watch.timeout);
-      socket.removeListener('close', watch.close);
-      this.#watches.delete(socket);
+    const listeners = this.#idleListeners.get(socket);
+    if (listeners !== undefined) {
+      socket.removeListener('data', listeners.data);
+      socket.removeListener('timeout', listeners.timeout);
+      socket.removeListener('close', listeners.close);
+      this.#idleListeners.delete(socket);
     }
     super.reuseSocket(socket, request);
   }
@@ -138,34 +141,35 @@
     }
   }
 
-  #watch(socket: Duplex): void {
-    let end: ConnectionCause = 'peer-closed';
-    const watch: IdleWatch = {
+  #listenWhileIdle(socket: Duplex): void {
+    let cause: ConnectionCause = 'peer-closed';
+    const listeners: IdleListeners = {
       data: () => {
-        end = 'not-kept';
+        cause = 'not-kept';
         socket.destroy();
       },
-      // The agent closes it.
+      // The agent itself closes the connection.
       timeout: () => {
-        end = 'idle-closed';
+        cause = 'idle-closed';
       },
       close: () => {
-        const name = this.#names.get(socket);
-        if (name !== undefined) {
-          this.#lastEnds.set(name, end);
+        const agentKey = this.#agentKeys.get(socket);
+        if (agentKey !== undefined) {
+          this.#lastCloseCauses.set(agentKey, cause);
         }
       },
     };
-    this.#watches.set(socket, watch);
-    socket.on('data', watch.data);
-    socket.on('timeout', watch.timeout);
-    socket.on('close', watch.close);
+    this.#idleListeners.set(socket, listeners);
+    socket.on('data', listeners.data);
+    socket.on('timeout', listeners.timeout);
+    socket.on('close', listeners.close);
   }
 }
 
-// The agent asks whether a connection may be kept while the request that used it still hangs on it, in a
-// field of its own that has no public form. Where the field is missing, the usual idle time holds.
-function keepAliveOf(socket: Duplex): string | undefined {
+// Returns the `Keep-Alive` header of the last answer on the connection. While the agent decides whether to keep the
+// connection, the request is still attached to it in a field that Node.js does not document. If the field is missing,
+// the default idle time applies.
+function keepAliveHeaderOf(socket: Duplex): string | undefined {
   const { _httpMessage: request } = socket as { _httpMessage?: { res?: IncomingMessage } };
   const value = request?.res?.headers['keep-alive'];
   return typeof value === 'string' ? value : undefined;
--- a/packages/entry/src/requests/upstream-request.ts
+++ b/packages/entry/src/requests/upstream-request.ts
@@ -1,34 +1,35 @@
-/** Builds what is sent upstream from what a caller sent. */
+/** Builds the headers of a request to an upstream host from the caller's request. */
 import type { Target } from '../routing/target-chooser.js';
 import { monotonicMs } from '../server/time.js';
 import type { RelayHeaders } from './relay-headers.js';
 import { endToEndHeaders } from './relay-headers.js';
 import type { RequestContext } from './request-context.js';
 
+/** Range of the urgency header; 0 is the most urgent. */
 const MOST_URGENT = 0;
 const LEAST_URGENT = 9;
-/** Urgency of a request of rank 0; each rank below adds one. */
-const URGENCY_OF_FIRST_RANK = 3;
+/** Urgency of a request with priority 0; each further step of the priority adds one. */
+const URGENCY_OF_PRIORITY_0 = 3;
 
-/** Headers for the host: those of the caller, and the ones this entry host answers for. */
+/** Headers for the host: the caller's end-to-end headers, and those that this entry host sets itself. */
 export function upstreamHeaders(
   context: RequestContext,
-  names: RelayHeaders,
+  headerNames: RelayHeaders,
   target: Target,
   lastEventId: string | undefined,
 ): string[] {
-  const headers = endToEndHeaders(context.request.rawHeaders, replacedHeaders(names));
-  const left = Math.max(1, Math.floor(context.deadline - monotonicMs()));
-  headers.push(names.deadlineMs, String(left));
-  headers.push(names.expectHost, target.host.id);
+  const headers = endToEndHeaders(context.request.rawHeaders, replacedHeaders(headerNames));
+  const remainingMs = Math.max(1, Math.floor(context.deadline - monotonicMs()));
+  headers.push(headerNames.deadlineMs, String(remainingMs));
+  headers.push(headerNames.expectHost, target.host.id);
   if (context.workspace !== undefined) {
-    headers.push(names.workspace, context.workspace);
+    headers.push(headerNames.workspace, context.workspace);
   }
   if (target.group !== undefined) {
-    headers.push(names.urgency, String(urgencyOf(context.priority)));
+    headers.push(headerNames.urgency, String(urgencyOf(context.priority)));
   }
   if (lastEventId !== undefined) {
-    headers.push(names.lastEventId, lastEventId);
+    headers.push(headerNames.lastEventId, lastEventId);
   }
   if (context.body !== undefined) {
     headers.push('content-length', String(context.body.length));
@@ -36,29 +37,30 @@
   return headers;
 }
 
-/** Rank at the host for a rank of the configuration. */
+/** Urgency at the host (0 to 9) for a priority of the configuration. */
 export function urgencyOf(priority: number): number {
-  const urgency = URGENCY_OF_FIRST_RANK + Math.round(priority);
+  const urgency = URGENCY_OF_PRIORITY_0 + Math.round(priority);
   return Math.min(LEAST_URGENT, Math.max(MOST_URGENT, urgency));
 }
 
-const replacedByNames = new WeakMap<RelayHeaders, ReadonlySet<string>>();
+// Sets of replaced headers, cached by the object of configured header names.
+const replacedHeadersByNames = new WeakMap<RelayHeaders, ReadonlySet<string>>();
 
-function replacedHeaders(names: RelayHeaders): ReadonlySet<string> {
-  const known = replacedByNames.get(names);
-  if (known !== undefined) {
-    return known;
+function replacedHeaders(headerNames: RelayHeaders): ReadonlySet<string> {
+  const cached = replacedHeadersByNames.get(headerNames);
+  if (cached !== undefined) {
+    return cached;
   }
-  // The key itself never reaches a host.
+  // `authorization` holds the caller's API key, which is never sent to a host.
   const replaced = new Set([
     'authorization',
     'content-length',
-    names.deadlineMs,
-    names.expectHost,
-    names.workspace,
-    names.urgency,
-    names.lastEventId,
+    headerNames.deadlineMs,
+    headerNames.expectHost,
+    headerNames.workspace,
+    headerNames.urgency,
+    headerNames.lastEventId,
   ]);
-  replacedByNames.set(names, replaced);
+  replacedHeadersByNames.set(headerNames, replaced);
   return replaced;
 }
