--- a/packages/entry/src/requests/attempt-log.test.ts
+++ b/packages/entry/src/requests/attempt-log.test.ts
@@ -14,13 +14,13 @@
   } as RequestContext;
 }
 
-function fullBudget(): RetryBudget {
+function unusedBudget(): RetryBudget {
   return new RetryBudget({ ratio: 0.2, slack: 160, windowMs: 10_000 }, () => 8);
 }
 
-describe('attempts of one request', () => {
-  it('are bounded by the route, whatever has become of the hosts', () => {
-    const log = new AttemptLog(contextOf({ maxAttempts: 2 }), fullBudget());
+describe('attempt log of a request', () => {
+  it('bounds attempts by the route, whatever happened to the hosts', () => {
+    const log = new AttemptLog(contextOf({ maxAttempts: 2 }), unusedBudget());
     log.noteSent({ id: 'first' });
     log.noteMayRun();
     expect(log.takeRetry()).to.equal(true);
@@ -28,29 +28,29 @@
     expect(log.takeRetry()).to.equal(false);
   });
 
-  it('do not count where nothing left this process', () => {
-    const log = new AttemptLog(contextOf({ maxAttempts: 1 }), fullBudget());
+  it('does not count an attempt of which nothing was sent', () => {
+    const log = new AttemptLog(contextOf({ maxAttempts: 1 }), unusedBudget());
     log.noteSent({ id: 'unreachable' });
     log.noteNeverSent();
     expect(log.takeRetry()).to.equal(true);
   });
 
-  it('are not used up by hosts that reject the request, up to three of them', () => {
+  it('does not count rejections as attempts, but allows at most three', () => {
     const call = { kind: 'non-idempotent', resumable: false, maxAttempts: 1 } as const;
-    const log = new AttemptLog(contextOf(call), fullBudget());
-    for (const host of ['full', 'no head any more']) {
+    const log = new AttemptLog(contextOf(call), unusedBudget());
+    for (const host of ['full', 'not-the-head']) {
       log.noteSent({ id: host });
       log.noteRejected();
       expect(log.takeRetry()).to.equal(true);
     }
-    log.noteSent({ id: 'full as well' });
+    log.noteSent({ id: 'full-too' });
     log.noteRejected();
     expect(log.takeRetry()).to.equal(false);
   });
 
-  it('of a call that runs once end with the first host that may have run it', () => {
+  it('allows no retry of a call that runs once after the first host that may have run it', () => {
     const call = { kind: 'non-idempotent', resumable: false, maxAttempts: 1 } as const;
-    const log = new AttemptLog(contextOf(call), fullBudget());
+    const log = new AttemptLog(contextOf(call), unusedBudget());
     log.noteSent({ id: 'full' });
     log.noteRejected();
     log.noteSent({ id: 'silent' });
@@ -58,10 +58,10 @@
     expect(log.takeRetry()).to.equal(false);
   });
 
-  it('end when a call that may not be repeated may have run', () => {
+  it('allows no retry once a call that may not be repeated may have run', () => {
     const log = new AttemptLog(
       contextOf({ kind: 'non-idempotent', resumable: false }),
-      fullBudget(),
+      unusedBudget(),
     );
     log.noteSent({ id: 'first' });
     expect(log.canRetry()).to.equal(true);
@@ -69,7 +69,7 @@
     expect(log.canRetry()).to.equal(false);
   });
 
-  it('spend the budget of all hosts', () => {
+  it('takes retries from the budget that all requests share', () => {
     const budget = new RetryBudget({ ratio: 0, slack: 16, windowMs: 10_000 }, () => 8);
     const first = new AttemptLog(contextOf({}), budget);
     first.noteSent({ id: 'host' });
@@ -79,10 +79,10 @@
     expect(second.takeRetry()).to.equal(false);
   });
 
-  it('end when the request comes into quarantine, without using the budget', () => {
+  it('allows no retry once the request is quarantined, without using the budget', () => {
     let isQuarantined = false;
     const context = { ...contextOf({}), isQuarantined: () => isQuarantined };
-    const budget = fullBudget();
+    const budget = unusedBudget();
     const log = new AttemptLog(context, budget);
     log.noteSent({ id: 'h1' });
     log.noteMayRun();
@@ -92,8 +92,8 @@
     expect(log.couldMove('beside')).to.equal(false);
   });
 
-  it('may go to a host again that has started again since', () => {
-    const log = new AttemptLog(contextOf({}), fullBudget());
+  it('excludes a host only until its restart', () => {
+    const log = new AttemptLog(contextOf({}), unusedBudget());
     log.noteSent({ id: 'h', startedAt: 10 });
     expect(log.tried.has('h@10')).to.equal(true);
     expect(log.tried.has('h@20')).to.equal(false);
--- a/packages/entry/src/requests/attempt-log.ts
+++ b/packages/entry/src/requests/attempt-log.ts
@@ -1,4 +1,4 @@
-/** The hosts that one request was sent to, and whether it may be sent again. */
+/** Records the attempts of one request and decides whether it may be sent again. */
 import type { HostIncarnation } from '../hosts/host-entry.js';
 import { incarnationOf } from '../hosts/host-entry.js';
 import type { RepeatReason, RetryBudget } from '../routing/retry-budget.js';
@@ -6,35 +6,35 @@
 import type { RequestContext } from './request-context.js';
 import { mayRepeat } from './request-context.js';
 
-/** Least time in which another attempt makes sense, in milliseconds. */
-const MIN_LEFT_MS = 60;
+/** Least time left with which a further attempt is made, in milliseconds. */
+const MIN_REMAINING_MS = 60;
 /**
- * Rejections after which a request is not sent on. A rejection costs a round trip and a repeat of the
- * budget; three hosts in a row that reject mean that the service is full, or the list of hosts old.
+ * Rejections after which a request is not sent again. Each costs a round trip and a retry of the budget; three
+ * rejections in a row mean that the service is at capacity or the list of hosts is stale.
  */
-const MOST_REJECTIONS = 3;
+const MAX_REJECTIONS = 3;
 
-/** Keeps the attempts of one request; the only place that says whether it may be sent again. */
+/** The attempts of one request; the only place that decides whether it may be sent again. */
 export class AttemptLog {
   readonly #context: RequestContext;
   readonly #budget: RetryBudget;
   readonly #tried = new Set<string>();
   readonly #sentTo: string[] = [];
   #mayHaveRun = false;
-  #neverSent = 0;
-  #rejected = 0;
+  #neverSentCount = 0;
+  #rejectionCount = 0;
 
   constructor(context: RequestContext, budget: RetryBudget) {
     this.#context = context;
     this.#budget = budget;
   }
 
-  /** Hosts that the request was sent to, each by its start: one that has started again may run it. */
+  /** Incarnations of hosts that the request was sent to: a host may receive it again after a restart. */
   get tried(): ReadonlySet<string> {
     return this.#tried;
   }
 
-  /** Ids of these hosts, for the log. */
+  /** Ids of these hosts, separated by commas, for the log. */
   get sentTo(): string {
     return this.#sentTo.join(',');
   }
@@ -44,53 +44,52 @@
     return this.#mayHaveRun;
   }
 
-  /** The request is about to leave for a host. */
+  /** Records that the request is about to be sent to a host. */
   noteSent(host: HostIncarnation): void {
     this.#tried.add(incarnationOf(host));
     this.#sentTo.push(host.id);
   }
 
-  /** Nothing left for the host after all. */
+  /** Records that nothing was sent to the host after all: it stays excluded, but does not count as an attempt. */
   noteNeverSent(): void {
-    // The host stays excluded, but it has not been offered the request.
-    this.#neverSent += 1;
+    this.#neverSentCount += 1;
   }
 
-  /** A host has said that it did not run the request: the route bounds runs, not rejections. */
+  /** Records that a host did not run the request. The route's limit on attempts counts runs, not rejections. */
   noteRejected(): void {
-    this.#rejected += 1;
+    this.#rejectionCount += 1;
   }
 
-  /** The request may run, or has run, at a host. */
+  /** Records that a host may be running the request or has run it. */
   noteMayRun(): void {
     this.#mayHaveRun = true;
   }
 
-  /** True when the request may be sent to one more host; takes the allowance for it. */
+  /** True if the request may be sent to one more host; then the retry is taken from the budget. */
   takeRetry(reason: RepeatReason = 'lost'): boolean {
-    return this.canRetry() && (this.#arrivals() === 0 || this.#budget.take(reason));
+    return this.canRetry() && (this.#sendCount() === 0 || this.#budget.take(reason));
   }
 
-  /** True when a stream in progress could be sent to one more host as well; takes no allowance. */
+  /** True if a stream in progress could be sent to one more host as well; takes nothing from the budget. */
   couldMove(reason: RepeatReason): boolean {
     return mayRepeat(this.#context.route) && this.canRetry() && this.#budget.hasRoom(reason);
   }
 
-  /** True when the request may be sent once more, but for the budget. */
+  /** True if the request may be sent once more, without regard to the budget. */
   canRetry(): boolean {
-    const { gone, deadline, route, isQuarantined } = this.#context;
-    if (gone.aborted || isQuarantined() || deadline - monotonicMs() < MIN_LEFT_MS) {
+    const { gone: callerSignal, deadline, route, isQuarantined } = this.#context;
+    if (callerSignal.aborted || isQuarantined() || deadline - monotonicMs() < MIN_REMAINING_MS) {
       return false;
     }
     if (this.#mayHaveRun && !mayRepeat(route)) {
       return false;
     }
-    const runs = this.#arrivals() - this.#rejected;
-    return runs < route.maxAttempts && this.#rejected < MOST_REJECTIONS;
+    const runs = this.#sendCount() - this.#rejectionCount;
+    return runs < route.maxAttempts && this.#rejectionCount < MAX_REJECTIONS;
   }
 
-  // A host that has ended counts too: entries also go while their hosts live on.
-  #arrivals(): number {
-    return this.#tried.size - this.#neverSent;
+  // Hosts whose entry has been removed count too: an entry may also be removed while its host still runs.
+  #sendCount(): number {
+    return this.#tried.size - this.#neverSentCount;
   }
 }
--- a/packages/entry/src/requests/await-target.ts
+++ b/packages/entry/src/requests/await-target.ts
@@ -1,4 +1,4 @@
-/** Waits for the target that a request is sent to next, as long as one can still come in time. */
+/** Waits for a request's next target while one may still become available in time. */
 import type { Target, TargetQuery } from '../routing/target-chooser.js';
 import type { TargetOutlook } from '../routing/target-outlook.js';
 import { describeStandings } from '../routing/target-standings.js';
@@ -10,60 +10,60 @@
 import type { NoTargetReason, Waiter } from './wait-for-target.js';
 import { LEAST_RUN_MS, noTargetReason, waitsForTarget } from './wait-for-target.js';
 
-/** No target came in time, or none can. */
+/** The result if no target became available in time, or if none can. */
 export type NoTarget = {
   readonly reason: NoTargetReason;
   /** Number of targets by standing, for the log: `evacuated:2,tried:1`. */
   readonly targets: string;
 };
 
-/** Least pause between two attempts to choose a target, in milliseconds: small beside any objective. */
-const LEAST_PAUSE_MS = 15;
-/** Greatest pause, in milliseconds: small beside the second and more in which a group forms. */
-const GREATEST_PAUSE_MS = 50;
-/** Pause between the two, as a part of the time waited so far. */
-const PAUSE_PART = 0.25;
+/** Shortest pause between two choices of a target, in milliseconds: short compared with any objective. */
+const MIN_PAUSE_MS = 15;
+/** Longest pause, in milliseconds: short compared with the second or more that the formation of a group takes. */
+const MAX_PAUSE_MS = 50;
+/** Length of a pause between these bounds, as a fraction of the time waited so far. */
+const PAUSE_FRACTION = 0.25;
 
 /**
- * The target, with the right to send to it claimed: the request must be sent at once. `query` is called for
- * each attempt to choose, since home regions may change meanwhile.
+ * Returns a target that has been claimed, so that the request must be sent at once. `query` is called for each
+ * choice, since home regions may change while the request waits.
  */
 export async function awaitTarget(
   services: RelayServices,
   context: RequestContext,
   query: () => TargetQuery,
 ): Promise<Target | NoTarget> {
-  const { gone, deadline, route } = context;
-  const wait = new TargetWait(context);
+  const { gone: callerSignal, deadline, route } = context;
+  const wait = new WaitTimer(context);
   const isTrial = context.isQuarantined() && (await services.quarantine.claimTrial(context));
-  // Those that wait for a paced host have come before.
-  const asked = (): TargetQuery => ({
+  // Requests that already wait for a paced host are served first.
+  const currentQuery = (): TargetQuery => ({
     ...query(),
     leavesPaced: services.pacedWaits.count(query()) > 0,
   });
   for (;;) {
     if (!isTrial && context.isQuarantined()) {
-      return quarantined(services);
+      return quarantinedResult(services);
     }
-    const target = wait.mayClaim ? claimTarget(services, asked()) : undefined;
+    const target = wait.mayClaim ? claimTarget(services, currentQuery()) : undefined;
     if (target !== undefined) {
       return target;
     }
-    const outlook = services.chooser.outlook(asked());
-    const waiter = wait.asOf(outlook, monotonicMs());
-    if (gone.aborted || !waitsForTarget(outlook, waiter)) {
+    const outlook = services.chooser.outlook(currentQuery());
+    const waiter = wait.measure(outlook, monotonicMs());
+    if (callerSignal.aborted || !waitsForTarget(outlook, waiter)) {
       const until = deadline - route.objectiveMs;
-      const paced = await awaitPacedTarget(services, query, { until, gone });
+      const paced = await awaitPacedTarget(services, query, { until, gone: callerSignal });
       if (!isTrial && context.isQuarantined()) {
-        return quarantined(services);
+        return quarantinedResult(services);
       }
-      return paced ?? noTarget(services, services.chooser.outlook(query()), gone.aborted);
+      return paced ?? noTarget(services, services.chooser.outlook(query()), callerSignal.aborted);
     }
-    await sleep(pauseMs(waiter), gone);
+    await sleep(pauseMs(waiter), callerSignal);
   }
 }
 
-function quarantined({ counters }: RelayServices): NoTarget {
+function quarantinedResult({ counters }: RelayServices): NoTarget {
   counters.count('requests_without_target_total', { reason: 'quarantined' });
   return { reason: 'quarantined', targets: '' };
 }
@@ -71,26 +71,26 @@
 function noTarget(
   { counters }: RelayServices,
   outlook: TargetOutlook,
-  callerHasLeft: boolean,
+  hasDisconnected: boolean,
 ): NoTarget {
   const reason = noTargetReason(outlook);
-  if (!callerHasLeft) {
+  if (!hasDisconnected) {
     counters.count('requests_without_target_total', { reason });
   }
   return { reason, targets: describeStandings(outlook.standings) };
 }
 
 function pauseMs({ lackingMs, leftMs }: Waiter): number {
-  const usualMs = Math.min(GREATEST_PAUSE_MS, Math.max(LEAST_PAUSE_MS, lackingMs * PAUSE_PART));
-  return Math.min(usualMs, Math.max(1, leftMs - LEAST_RUN_MS));
+  const proportionalMs = Math.min(MAX_PAUSE_MS, Math.max(MIN_PAUSE_MS, lackingMs * PAUSE_FRACTION));
+  return Math.min(proportionalMs, Math.max(1, leftMs - LEAST_RUN_MS));
 }
 
-/** Measures how long one request has waited. */
-class TargetWait {
+/** Measures for how long one request has waited for a target, and for how long for the formation of a group. */
+class WaitTimer {
   readonly #context: RequestContext;
-  readonly #lackingSince = monotonicMs();
+  readonly #waitingSince = monotonicMs();
   #formingMs: number | undefined;
-  #formingSince = this.#lackingSince;
+  #formingSince = this.#waitingSince;
   #hasWaited = false;
 
   constructor(context: RequestContext) {
@@ -98,16 +98,17 @@
   }
 
   /**
-   * False once a run makes no sense any more. A wait may end later than was meant, and the limit on a
-   * request's time, which has passed then, would not end what is sent after it.
+   * False once a run would be useless: the caller has disconnected, or too little time is left. A wait may end later
+   * than planned, and a request sent after its time limit has passed would not be ended by that limit.
    */
   get mayClaim(): boolean {
-    const { gone, deadline } = this.#context;
+    const { gone: callerSignal, deadline } = this.#context;
     const hasTime = !this.#hasWaited || deadline - monotonicMs() >= LEAST_RUN_MS;
-    return !gone.aborted && hasTime;
+    return !callerSignal.aborted && hasTime;
   }
 
-  asOf({ formingMs }: TargetOutlook, now: number): Waiter {
+  /** The state of the wait at `now`, in monotonic milliseconds; to be called once for each new outlook. */
+  measure({ formingMs }: TargetOutlook, now: number): Waiter {
     this.#hasWaited = true;
     if (formingMs !== this.#formingMs) {
       this.#formingMs = formingMs;
@@ -115,7 +116,7 @@
     }
     const { deadline, response } = this.#context;
     return {
-      lackingMs: now - this.#lackingSince,
+      lackingMs: now - this.#waitingSince,
       formingForMs: now - this.#formingSince,
       leftMs: deadline - now,
       begun: response.headersSent,
@@ -123,7 +124,7 @@
   }
 }
 
-/** True when {@link awaitTarget} gave a target. */
+/** True if {@link awaitTarget} returned a target. */
 export function isTarget(found: Target | NoTarget): found is Target {
   return 'host' in found;
 }
--- a/packages/entry/src/requests/backoff-wait.test.ts
+++ b/packages/entry/src/requests/backoff-wait.test.ts
@@ -1,7 +1,8 @@
 /**
- * Minutes in which all hosts of a service reject everything for a while and ask each entry host that they reject for
- * no requests: what callers get when a request waits for the end of that time, and when it is refused at once with the
- * true time and comes back, once, at any entry host. Without a network; hosts that are back serve all that comes.
+ * Simulates outages in which all hosts of a service reject every request and ask each rejected entry host for a backoff.
+ * Guards against a policy that serves callers worse than an immediate refusal would. Compared are requests that wait for
+ * the end of the backoff, and requests that are refused at once with the true time and retried once, at any entry host.
+ * There is no network, and hosts that have recovered serve every request.
  */
 import { expect } from 'chai';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
@@ -14,64 +15,69 @@
 const REQUESTS_PER_MS = 0.011;
 const ROUND_TRIP_MS = 4;
 const RUN_MS = 50;
-/** Greatest part of its time left for which a caller heeds the time that it is told. */
-const HEEDED_PART = 1 / 3;
-/** What a caller is told where not all hosts have asked for none, in milliseconds. */
-const USUAL_RETRY_MS = 250;
-const MINUTES = 80;
-/** Draws that are left out: the first ones of small seeds are alike. */
-const SKIPPED_DRAWS = 20;
-
-/** A class of requests: times in milliseconds, and what a late answer is worth, 0 to 1. */
+/** Greatest fraction of its time left, 0 to 1, for which a caller delays its retry. */
+const MAX_RETRY_DELAY_FRACTION = 1 / 3;
+/** `Retry-After` for callers if not all hosts are backing off, in milliseconds. */
+const DEFAULT_RETRY_AFTER_MS = 250;
+/** Simulated outages for each policy; each has its own seed. */
+const SIMULATIONS = 80;
+/** Draws that are discarded: the first ones of small seeds are similar. */
+const DISCARDED_DRAWS = 20;
+
+/** A class of requests: times in milliseconds, and the worth of a late answer, 0 to 1. */
 type RequestClass = {
   readonly objectiveMs: number;
   readonly deadlineMs: number;
   readonly lateWorth: number;
 };
 
-/** For how long the hosts reject, and how much time they ask for. */
+/** For how long the hosts reject, and the backoff that they ask for; both in milliseconds. */
 type Outage = { readonly rejectsForMs: number; readonly asksForMs: number };
 
-/** True when a request waits; both times in milliseconds. */
+/** Returns true if a request waits; both times in milliseconds. */
 type Policy = (backoffMs: number, leftMs: number) => boolean;
 
+/** The first arrival of a caller's request, in milliseconds, and the retries left. */
 type Caller = { readonly at: number; retries: number };
 
-const atOnce: Policy = () => false;
-const asBuilt: Policy = (backoffMs, leftMs) =>
+const refusingAtOnce: Policy = () => false;
+const implementedPolicy: Policy = (backoffMs, leftMs) =>
   waitsForTarget(
     { standings: ['backing-off'], formingMs: undefined, backoffMs },
     { lackingMs: 0, formingForMs: 0, leftMs, begun: false },
   );
 
-class Minute {
-  /** Of arrivals: the same ones whatever the policy. */
+/** One simulated outage. */
+class OutageSimulation {
+  /** Draws for the arrivals, separate so that they are the same for each policy. */
   readonly #arrivals: () => number;
   readonly #random: () => number;
   readonly #outage: Outage;
-  readonly #kind: RequestClass;
-  readonly #waits: Policy;
+  readonly #requestClass: RequestClass;
+  readonly #policy: Policy;
   readonly #events: { readonly at: number; readonly run: () => void }[] = [];
-  /** Until when each host wants no requests of each entry host. */
-  readonly #until = Array.from({ length: ENTRY_HOSTS }, () => new Array<number>(HOSTS).fill(0));
+  /** End of each host's backoff by entry host, in milliseconds. */
+  readonly #backoffEnds = Array.from({ length: ENTRY_HOSTS }, () =>
+    new Array<number>(HOSTS).fill(0),
+  );
   #worth = 0;
   #requests = 0;
 
   constructor(seed: number, outage: Outage, kind: RequestClass, waits: Policy) {
     this.#arrivals = uniformDraws(seed);
-    this.#random = uniformDraws(seed + MINUTES);
+    this.#random = uniformDraws(seed + SIMULATIONS);
     this.#outage = outage;
-    this.#kind = kind;
-    this.#waits = waits;
+    this.#requestClass = kind;
+    this.#policy = waits;
   }
 
-  /** Part of the worth of all requests that callers get. */
-  play(): number {
+  /** Runs the simulation. Returns the worth that callers get, as a fraction of that of all requests, 0 to 1. */
+  run(): number {
     const { rejectsForMs, asksForMs } = this.#outage;
     for (let at = 0; at < rejectsForMs + asksForMs + 2_000;) {
       at += -Math.log(1 - this.#arrivals()) / REQUESTS_PER_MS;
       this.#requests += 1;
-      this.#comesTo(this.#anyEntryHost(), { at, retries: 1 }, at);
+      this.#scheduleArrival(this.#randomEntryHost(), { at, retries: 1 }, at);
     }
     while (this.#events.length > 0) {
       this.#events.sort((a, b) => a.at - b.at);
@@ -80,49 +86,54 @@
     return this.#worth / this.#requests;
   }
 
-  #anyEntryHost(): number {
+  #randomEntryHost(): number {
     return Math.floor(this.#random() * ENTRY_HOSTS);
   }
 
-  #comesTo(entryHost: number, caller: Caller, at: number): void {
+  #scheduleArrival(entryHost: number, caller: Caller, at: number): void {
     this.#events.push({ at, run: () => this.#handle(entryHost, caller, at) });
   }
 
   #handle(entryHost: number, caller: Caller, at: number): void {
-    const until = this.#until[entryHost] ?? [];
+    const ends = this.#backoffEnds[entryHost] ?? [];
     const tried = new Set<number>();
     let now = at;
     for (;;) {
-      const free = until.flatMap((end, host) => (end <= now && !tried.has(host) ? [host] : []));
-      const host = free[Math.floor(this.#random() * free.length)];
+      const usable = ends.flatMap((end, host) => (end <= now && !tried.has(host) ? [host] : []));
+      const host = usable[Math.floor(this.#random() * usable.length)];
       if (host === undefined) {
         break;
       }
       if (now >= this.#outage.rejectsForMs) {
-        this.#served(caller, now + RUN_MS);
+        this.#recordAnswer(caller, now + RUN_MS);
         return;
       }
-      until[host] = now + this.#outage.asksForMs * (1 + 0.1 * this.#random());
+      ends[host] = now + this.#outage.asksForMs * (1 + 0.1 * this.#random());
       tried.add(host);
       now += ROUND_TRIP_MS;
     }
-    this.#notServed(entryHost, caller, now);
+    this.#waitOrRefuse(entryHost, caller, now);
   }
 
-  #notServed(entryHost: number, caller: Caller, now: number): void {
-    const backoffMs = Math.max(0, Math.min(...(this.#until[entryHost] ?? [])) - now);
-    const leftMs = caller.at + this.#kind.deadlineMs - now;
-    if (backoffMs > 0 && this.#waits(backoffMs, leftMs)) {
-      this.#comesTo(entryHost, caller, now + backoffMs);
+  #waitOrRefuse(entryHost: number, caller: Caller, now: number): void {
+    const backoffMs = Math.max(0, Math.min(...(this.#backoffEnds[entryHost] ?? [])) - now);
+    const leftMs = caller.at + this.#requestClass.deadlineMs - now;
+    if (backoffMs > 0 && this.#policy(backoffMs, leftMs)) {
+      this.#scheduleArrival(entryHost, caller, now + backoffMs);
     } else if (caller.retries > 0) {
-      const toldMs = backoffMs > 0 ? backoffMs : USUAL_RETRY_MS;
-      const backAt = now + ROUND_TRIP_MS + Math.min(toldMs, leftMs * HEEDED_PART);
-      this.#comesTo(this.#anyEntryHost(), { ...caller, retries: caller.retries - 1 }, backAt);
+      const retryAfterMs = backoffMs > 0 ? backoffMs : DEFAULT_RETRY_AFTER_MS;
+      const backAt =
+        now + ROUND_TRIP_MS + Math.min(retryAfterMs, leftMs * MAX_RETRY_DELAY_FRACTION);
+      this.#scheduleArrival(
+        this.#randomEntryHost(),
+        { ...caller, retries: caller.retries - 1 },
+        backAt,
+      );
     }
   }
 
-  #served({ at }: Caller, endsAt: number): void {
-    const { objectiveMs, deadlineMs, lateWorth } = this.#kind;
+  #recordAnswer({ at }: Caller, endsAt: number): void {
+    const { objectiveMs, deadlineMs, lateWorth } = this.#requestClass;
     if (endsAt - at <= objectiveMs) {
       this.#worth += 1;
     } else if (endsAt - at <= deadlineMs) {
@@ -134,19 +145,19 @@
 function uniformDraws(seed: number): () => number {
   const generator = xoroshiro128plus(seed);
   const draw = (): number => uniformFloat64(generator);
-  Array.from({ length: SKIPPED_DRAWS }, draw);
+  Array.from({ length: DISCARDED_DRAWS }, draw);
   return draw;
 }
 
 function meanWorth(outage: Outage, kind: RequestClass, waits: Policy): number {
-  const minutes = Array.from({ length: MINUTES }, (_, seed) =>
-    new Minute(seed, outage, kind, waits).play(),
+  const worths = Array.from({ length: SIMULATIONS }, (_, seed) =>
+    new OutageSimulation(seed, outage, kind, waits).run(),
   );
-  return minutes.reduce((sum, worth) => sum + worth, 0) / MINUTES;
+  return worths.reduce((sum, worth) => sum + worth, 0) / SIMULATIONS;
 }
 
-describe('waiting for hosts that want no requests for a time', () => {
-  const kinds: readonly RequestClass[] = [
+describe('waiting for the end of a backoff', () => {
+  const requestClasses: readonly RequestClass[] = [
     { objectiveMs: 193, deadlineMs: 1_000, lateWorth: 0.1 },
     { objectiveMs: 386, deadlineMs: 4_000, lateWorth: 0.5 },
     { objectiveMs: 300, deadlineMs: 6_000, lateWorth: 0.4 },
@@ -156,12 +167,12 @@
     [1_000, 3_000].map(asksForMs => ({ rejectsForMs, asksForMs })),
   );
 
-  // Over all outages: in a single one a request may wait in vain, for hosts that reject it again.
-  for (const kind of kinds) {
-    it(`gives callers with ${kind.deadlineMs} ms no less than a refusal at once does`, () => {
-      const ofAll = (waits: Policy): number =>
+  // Compared over all outages: in a single one, a request may wait for hosts that then reject it again.
+  for (const kind of requestClasses) {
+    it(`gives callers with ${kind.deadlineMs} ms at least as much as an immediate refusal`, () => {
+      const totalWorth = (waits: Policy): number =>
         outages.reduce((sum, outage) => sum + meanWorth(outage, kind, waits), 0);
-      expect(ofAll(asBuilt)).to.be.at.least(ofAll(atOnce));
+      expect(totalWorth(implementedPolicy)).to.be.at.least(totalWorth(refusingAtOnce));
     }).timeout(20_000);
   }
 });
--- a/packages/entry/src/requests/claim-target.ts
+++ b/packages/entry/src/requests/claim-target.ts
@@ -4,8 +4,8 @@
 import type { RelayServices } from './relay-services.js';
 
 /**
- * The target to which the request must be sent at once, without an `await` in between: a host may stop
- * being eligible at any moment, and the allowance of a host that takes few is used up. Undefined while there is none.
+ * Returns the target to which the request must be sent at once, without an `await` in between: a host may stop being
+ * eligible at any moment, and the claim uses the allowance of a rate-limited or cold host. Undefined if there is none.
  */
 export function claimTarget(
   { chooser, eligibility }: RelayServices,
--- a/packages/entry/src/requests/crowded-host.test.ts
+++ b/packages/entry/src/requests/crowded-host.test.ts
@@ -1,4 +1,7 @@
-/** Guards against a busy host that is taken for one out of reach, and its sound group for lost. */
+/**
+ * Guards against a busy host that is treated as unreachable, and its healthy group as lost. While all connections to the
+ * host are in use, a request waits for one for at most the greatest connect timeout, although no connect has failed.
+ */
 import { expect } from 'chai';
 
 import { MOST_CONNECT_MS } from '../routing/connect-times.js';
@@ -15,23 +18,23 @@
   { Relay: StreamRelay, route: { kind: 'stream', resumable: true, objectiveMs: 5_000 } },
 ] as const;
 
-describe('a host to which all connections are in use', () => {
+describe('a host whose connections are all in use', () => {
   for (const { Relay, route } of RELAYS) {
-    it(`gets no ${route.kind} request more, and is not taken for one out of reach`, async () => {
+    it(`receives no further ${route.kind} request, and is not treated as unreachable`, async () => {
       const busy = new UpstreamStandIn(response => {
         setTimeout(() => response.writeHead(200, HEAD).end('id: 1\ndata: 1\n\n'), BUSY_MS);
       });
       const other = new UpstreamStandIn(response => {
         response.writeHead(200, HEAD).end('id: 1\ndata: 1\n\n');
       });
-      const crowded = await busy.listen('h0');
-      const queue = [crowded, crowded, await other.listen('h1')];
-      const services = relayServices(() => queue.shift());
+      const busyTarget = await busy.listen('h0');
+      const targets = [busyTarget, busyTarget, await other.listen('h1')];
+      const services = relayServices(() => targets.shift());
       const connections = new UpstreamConnections(1);
-      let suspected = 0;
+      let suspicions = 0;
       Object.assign(services, {
         connectionsOf: () => connections,
-        suspect: () => (suspected += 1),
+        suspect: () => (suspicions += 1),
       });
       const first = requestContext('r', { ...route, maxAttempts: 2 });
       const second = requestContext('r', { ...route, maxAttempts: 2 });
@@ -42,7 +45,7 @@
       expect([first.answer.status, second.answer.status]).to.deep.equal([200, 200]);
       expect([busy.seen.length, other.seen.length]).to.deep.equal([1, 1]);
       expect(services.activities.isAvoided('h0', monotonicMs())).to.equal(false);
-      expect(suspected).to.equal(0);
+      expect(suspicions).to.equal(0);
       connections.destroy();
       busy.close();
       other.close();
--- a/packages/entry/src/requests/final-answer.ts
+++ b/packages/entry/src/requests/final-answer.ts
@@ -1,9 +1,9 @@
-/** Final answers of the entry host's own: refusals and failures, given without delay. */
+/** Final answers that the entry host itself gives: refusals and failures, sent without delay. */
 import type { ServerResponse } from 'node:http';
 
 import type { NoTargetReason } from './wait-for-target.js';
 
-/** Why a request gets an answer of the entry host's own. */
+/** Why the entry host itself answers a request. */
 export type AnswerReason =
   | 'no-configuration'
   | 'no-route'
@@ -20,17 +20,17 @@
   | 'upstream-invalid'
   | 'deadline-passed';
 
-/** A final answer. */
+/** A refusal or failure that the entry host sends to a caller. */
 export type FinalAnswer = {
   readonly status: number;
   readonly reason: AnswerReason;
-  /** When the caller may come back; only where the request has not run. */
+  /** Time after which the caller may retry, in milliseconds; only if the request has not run. */
   readonly retryAfterMs?: number;
 };
 
 /**
- * The answer to a request that crashes the hosts that run it. Not one of the 4xx, which says that the request
- * is wrong: the verdict may be. And no time to come back, since it would be refused again.
+ * The answer to a request that crashes the hosts that run it. Its status is not a 4xx, which would say that the
+ * request is invalid, since the verdict may be wrong. It has no `Retry-After`, since a retry would be refused again.
  */
 export function quarantinedAnswer(mayHaveRun: boolean): FinalAnswer {
   return { status: mayHaveRun ? 502 : 503, reason: 'quarantined' };
@@ -38,7 +38,7 @@
 
 const MS_PER_S = 1_000;
 
-/** Writes the answer, unless one has begun: then the connection is closed. */
+/** Sends the answer. If another one has begun, the connection is closed instead. */
 export function giveFinalAnswer(response: ServerResponse, answer: FinalAnswer): void {
   if (response.headersSent) {
     response.destroy();
--- a/packages/entry/src/requests/home-regions.test.ts
+++ b/packages/entry/src/requests/home-regions.test.ts
@@ -5,9 +5,13 @@
 import { RequestHomes } from './home-regions.js';
 
 const LIMITS = { maxHeaderBytes: 1, maxBodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 };
-const NAMED = { hostHeader: 'models.example', url: '/chat/x', key: 'k' };
+const LOOKUP = { hostHeader: 'models.example', url: '/chat/x', key: 'k' };
 
-type Homes = { readonly route?: readonly string[]; readonly workspace?: readonly string[] };
+/** Home regions of the route and of the workspace in a table; undefined: the table lacks it. */
+type DeclaredRegions = {
+  readonly route?: readonly string[];
+  readonly workspace?: readonly string[];
+};
 
 function routeWith(homeRegions: readonly string[]): Route {
   return {
@@ -31,7 +35,7 @@
   return { name: 'north', keys: ['k'], priority: undefined, homeRegions };
 }
 
-function tableWith({ route, workspace }: Homes): RouteTable {
+function tableWith({ route, workspace }: DeclaredRegions): RouteTable {
   return new RouteTable({
     version: 1,
     routes: route === undefined ? [] : [routeWith(route)],
@@ -44,29 +48,29 @@
 describe('home regions of a request', () => {
   const admission = { route: routeWith(['north']), workspace: workspaceWith(['east']) };
 
-  it('are those of its route and of its workspace, and both bind', () => {
+  it('are those of its route and of its workspace, and both apply', () => {
     const table = tableWith({ route: ['north'], workspace: ['east'] });
-    const homes = new RequestHomes(() => table, NAMED, admission);
+    const homes = new RequestHomes(() => table, LOOKUP, admission);
     expect(homes.inForce()).to.deep.equal([['north'], ['east']]);
   });
 
-  it('are none where neither has some', () => {
+  it('are none if neither declares any', () => {
     const table = tableWith({ route: [], workspace: [] });
-    const homes = new RequestHomes(() => table, NAMED, admission);
+    const homes = new RequestHomes(() => table, LOOKUP, admission);
     expect(homes.inForce()).to.deep.equal([]);
   });
 
-  it('are those of the configuration in force when they are asked for', () => {
+  it('are read from the configuration in force at each call', () => {
     let table = tableWith({ route: ['north'], workspace: ['east'] });
-    const homes = new RequestHomes(() => table, NAMED, admission);
+    const homes = new RequestHomes(() => table, LOOKUP, admission);
     homes.inForce();
     table = tableWith({ route: ['south'], workspace: [] });
     expect(homes.inForce()).to.deep.equal([['south']]);
   });
 
-  it('bind on when the route or the key is dropped while the request runs', () => {
+  it('still apply after the route or the key has been removed', () => {
     let table = tableWith({ route: ['south'], workspace: ['west'] });
-    const homes = new RequestHomes(() => table, NAMED, admission);
+    const homes = new RequestHomes(() => table, LOOKUP, admission);
     homes.inForce();
     table = tableWith({});
     expect(homes.inForce()).to.deep.equal([['south'], ['west']]);
--- a/packages/entry/src/requests/home-regions.ts
+++ b/packages/entry/src/requests/home-regions.ts
@@ -1,19 +1,18 @@
 /**
  * Home regions that restrict a request: those of its route and those of its workspace.
  *
- * They are read from the configuration in force at each send, not from the one under which the request
- * arrived: a stream may run for many seconds, and what it still needs must not leave the regions that
- * an operator has meanwhile declared.
+ * They are read from the configuration in force at each send, not from the one under which the request arrived: a
+ * stream may run for many seconds, and its later attempts must stay within regions that an operator declares meanwhile.
  */
 import type { RouteTable } from '../configuration/route-table.js';
 import type { Route, Workspace } from '../configuration/serving-configuration.js';
 import type { HomeRegions } from '../routing/eligibility.js';
 
-/** What a request says, by which its route and workspace are looked up again in a newer configuration. */
+/** The values of a request by which its route and workspace are looked up again in a newer configuration. */
 export type NamedByRequest = {
   readonly hostHeader: string;
   readonly url: string;
-  /** Key of the caller; undefined where it sent none. */
+  /** Key of the caller; undefined if it sent none. */
   readonly key: string | undefined;
 };
 
@@ -23,45 +22,45 @@
   readonly workspace: Workspace | undefined;
 };
 
-/** Finds the home regions of one request. */
+/** Looks up the home regions of one request in the configuration in force. */
 export class RequestHomes {
   readonly #table: () => RouteTable | undefined;
-  readonly #named: NamedByRequest;
-  /** Route and workspace of the newest configuration that had them: they bind after one is removed. */
-  #latest: Admission;
-  #resolvedWith: RouteTable | undefined;
-  #homes: HomeRegions;
+  readonly #lookup: NamedByRequest;
+  /** Route and workspace from the newest configuration that had them; they still apply after their removal. */
+  #latestAdmission: Admission;
+  #resolvedTable: RouteTable | undefined;
+  #homeRegions: HomeRegions;
 
-  /** `table` gives the configuration in force. */
-  constructor(table: () => RouteTable | undefined, named: NamedByRequest, admission: Admission) {
+  /** `table` returns the configuration in force. */
+  constructor(table: () => RouteTable | undefined, lookup: NamedByRequest, admission: Admission) {
     this.#table = table;
-    this.#named = named;
-    this.#latest = admission;
-    this.#homes = homesOf(admission);
+    this.#lookup = lookup;
+    this.#latestAdmission = admission;
+    this.#homeRegions = homeRegionsOf(admission);
   }
 
-  /** The regions as of now. */
+  /** The home regions by the configuration in force now. */
   inForce(): HomeRegions {
     const table = this.#table();
-    if (table !== undefined && table !== this.#resolvedWith) {
-      this.#resolvedWith = table;
-      this.#latest = this.#admissionBy(table);
-      this.#homes = homesOf(this.#latest);
+    if (table !== undefined && table !== this.#resolvedTable) {
+      this.#resolvedTable = table;
+      this.#latestAdmission = this.#lookUpAdmission(table);
+      this.#homeRegions = homeRegionsOf(this.#latestAdmission);
     }
-    return this.#homes;
+    return this.#homeRegions;
   }
 
-  #admissionBy(table: RouteTable): Admission {
-    const { hostHeader, url, key } = this.#named;
+  #lookUpAdmission(table: RouteTable): Admission {
+    const { hostHeader, url, key } = this.#lookup;
     const workspace = key === undefined ? undefined : table.workspaceOf(key);
     return {
-      route: table.routeOf(hostHeader, url) ?? this.#latest.route,
-      workspace: workspace ?? this.#latest.workspace,
+      route: table.routeOf(hostHeader, url) ?? this.#latestAdmission.route,
+      workspace: workspace ?? this.#latestAdmission.workspace,
     };
   }
 }
 
-function homesOf({ route, workspace }: Admission): HomeRegions {
-  const all = [route.homeRegions, workspace?.homeRegions ?? []];
-  return all.filter(regions => regions.length > 0);
+function homeRegionsOf({ route, workspace }: Admission): HomeRegions {
+  const lists = [route.homeRegions, workspace?.homeRegions ?? []];
+  return lists.filter(regions => regions.length > 0);
 }
--- a/packages/entry/src/requests/host-notice.test.ts
+++ b/packages/entry/src/requests/host-notice.test.ts
@@ -13,24 +13,24 @@
   return readNotice({ statusCode, headers, headersDistinct }, TEST_HEADERS);
 }
 
-describe('what an answer says about its host', () => {
-  it('names the time in which the host wants no requests', () => {
+describe('host notice of an answer', () => {
+  it('contains the backoff that the host asks for', () => {
     expect(noticeOf(503, ['3']).backoffMs).to.equal(3_000);
     expect(noticeOf(503, [' 0.25 ']).backoffMs).to.equal(250);
     expect(noticeOf(429, ['2']).backoffMs).to.equal(2_000);
     expect(noticeOf(503, []).backoffMs).to.equal(0);
   });
 
-  it('is about the host only where it rejects for its load', () => {
+  it('contains a backoff only for statuses that report overload', () => {
     expect(noticeOf(200, ['3']).backoffMs).to.equal(0);
     expect(noticeOf(500, ['3']).backoffMs).to.equal(0);
   });
 
-  it('holds for the longest of several times', () => {
+  it('contains the longest of several backoffs', () => {
     expect(noticeOf(503, ['1', '4', '2']).backoffMs).to.equal(4_000);
   });
 
-  it('may be a date, which counts from the date of the answer', () => {
+  it('counts a date from the date of the answer', () => {
     const date = 'Mon, 01 Jun 2026 01:00:00 GMT';
     const later = 'Mon, 01 Jun 2026 01:00:05 GMT';
     expect(noticeOf(503, [later], { date }).backoffMs).to.equal(5_000);
@@ -38,7 +38,7 @@
     expect(noticeOf(503, [later]).backoffMs).to.equal(0);
   });
 
-  it('says nothing where it can not be read', () => {
+  it('contains no backoff if the value can not be parsed', () => {
     for (const value of ['', '-3', 'soon', 'NaN', 'Infinity', '0', '1e9', '0x10', '3 s']) {
       expect(noticeOf(503, [value], { date: 'Mon, 01 Jun 2026 01:00:00 GMT' }).backoffMs).to.equal(
         0,
@@ -46,7 +46,7 @@
     }
   });
 
-  it('tells whether the host is shutting down, whatever the answer', () => {
+  it('reports whether the host is shutting down, whatever the status', () => {
     for (const status of [200, 404, 500, 503]) {
       expect(noticeOf(status, [], { 'x-leaving': '1' }).isLeaving).to.equal(true);
       expect(noticeOf(status, [], { 'x-leaving': '0' }).isLeaving).to.equal(false);
@@ -54,7 +54,7 @@
     }
   });
 
-  it('is not taken from another host at the address', () => {
+  it('is empty if another host at the address answered', () => {
     expect(noticeOf(421, ['3'], { 'x-leaving': '1' })).to.deep.equal({
       backoffMs: 0,
       isLeaving: false,
--- a/packages/entry/src/requests/no-target.test.ts
+++ b/packages/entry/src/requests/no-target.test.ts
@@ -1,4 +1,4 @@
-/** Requests for which no host is left. */
+/** Guards against requests that wait in vain, or are refused too early, when no host may receive them. */
 import { expect } from 'chai';
 
 import type { HostEntry } from '../hosts/host-entry.js';
@@ -11,10 +11,11 @@
 import type { RelayServices } from './relay-services.js';
 import { StreamRelay } from './stream-relay.js';
 
-/** A part of it is what requests are held for, far beyond what any of these tests may take. */
+/** Requests may wait for a fraction of it, which is far longer than any of these tests may take. */
 const OBJECTIVE_MS = 20_000;
-const AT_ONCE_MS = 1_000;
-const NOBODY: ReadonlySet<string> = new Set();
+/** Longest time within which a refusal counts as immediate, in milliseconds. */
+const MAX_REFUSAL_MS = 1_000;
+const NO_HOSTS: ReadonlySet<string> = new Set();
 const DRAINING: TargetOutlook = {
   standings: ['draining'],
   formingMs: undefined,
@@ -46,7 +47,7 @@
       const { context, answer } = requestContext('r', { objectiveMs: OBJECTIVE_MS });
       const startedAt = monotonicMs();
       await new Relay(context, services).run();
-      expect(monotonicMs() - startedAt).to.be.lessThan(AT_ONCE_MS);
+      expect(monotonicMs() - startedAt).to.be.lessThan(MAX_REFUSAL_MS);
       expect(answer.status).to.equal(503);
       expect(lines[0]).to.include({ reason: 'evacuated', targets: 'evacuated:2' });
       const counted = services.counters.value('requests_without_target_total', {
@@ -55,25 +56,31 @@
       expect(counted).to.equal(1);
     });
 
-    it(`of a ${Relay.name} waits while something may change, and tells why it got none`, async () => {
+    it(`of a ${Relay.name} waits while a change is expected, and logs why it has no target`, async () => {
       const lines: LoggedLine[] = [];
       const { context } = requestContext('r', { objectiveMs: 500 });
       const startedAt = monotonicMs();
       await new Relay(context, servicesWith(DRAINING, lines)).run();
+      // Requests wait 100 ms for a change to reach this entry host; timers may fire slightly early.
       expect(monotonicMs() - startedAt).to.be.at.least(95);
       expect(lines[0]).to.include({ reason: 'no-target', targets: 'draining:1' });
     });
   }
 
-  it('gets the group that forms meanwhile, although all others are evacuated', async () => {
+  it('is sent to a group that forms meanwhile, although all others are evacuated', async () => {
     const target = { host: { id: 'h' } as HostEntry, group: undefined };
-    let asked = 0;
+    let choices = 0;
     const services = servicesWith({ ...ALL_EVACUATED, formingMs: 500, backoffMs: undefined });
-    const chooser = { ...services.chooser, choose: () => (++asked > 2 ? target : undefined) };
+    const chooser = { ...services.chooser, choose: () => (++choices > 2 ? target : undefined) };
     const { context } = requestContext('r');
-    const query = { service: context.service, model: undefined, homeRegions: [], exclude: NOBODY };
-    const asking = { ...services, chooser } as unknown as RelayServices;
-    const got = await awaitTarget(asking, context, () => query);
-    expect(got).to.equal(target);
+    const query = {
+      service: context.service,
+      model: undefined,
+      homeRegions: [],
+      exclude: NO_HOSTS,
+    };
+    const servicesWithChooser = { ...services, chooser } as unknown as RelayServices;
+    const found = await awaitTarget(servicesWithChooser, context, () => query);
+    expect(found).to.equal(target);
   });
 });
--- a/packages/entry/src/requests/notice-listener.ts
+++ b/packages/entry/src/requests/notice-listener.ts
@@ -1,20 +1,20 @@
-/** Hears what a host says about itself with an answer. */
+/** Receives what hosts report about themselves in their answers. */
 import type { HostAnswerListener } from '../groups/host-orders.js';
 import { readNotice } from './host-notice.js';
 import { readLimit } from './limit-notice.js';
 import type { RelayHeaders } from './relay-headers.js';
 import type { RelayServices } from './relay-services.js';
 
-/** Where what hosts say is kept. */
-type NoticeKeepers = Pick<RelayServices, 'notices' | 'namedLimits'>;
+/** The stores of backoff and shutdown notices and of rate limits. */
+type NoticeStores = Pick<RelayServices, 'notices' | 'namedLimits'>;
 
 /**
- * Keeps the notices of answers: to requests, whether they are used or not, as well as to orders and questions for
+ * Stores the notices of all answers: to requests, whether the answer is used or not, to orders, and to fetches of
  * reports.
  */
 export function noticeListener(
   names: RelayHeaders,
-  { notices, namedLimits }: NoticeKeepers,
+  { notices, namedLimits }: NoticeStores,
 ): HostAnswerListener {
   return (host, { head, requestId, askedAt }) => {
     notices.hear(host, readNotice(head, names));
--- a/packages/entry/src/requests/paced-wait.test.ts
+++ b/packages/entry/src/requests/paced-wait.test.ts
@@ -11,8 +11,8 @@
 const TARGET = { host: { id: 'cold' }, group: undefined } as Target;
 const gone = new AbortController().signal;
 
-describe('wait for a cold host', () => {
-  /** Services whose cold host can take one request in each interval, the first after `nextInMs`. */
+describe('request that waits for a cold host', () => {
+  /** Services with a cold host that can take one request per interval, the first after `nextInMs`; undefined: none. */
   function services(pace: SendPace | undefined): RelayServices {
     let nextAt = monotonicMs() + (pace?.nextInMs ?? Infinity);
     const choose = ({ leavesPaced }: TargetQuery): Target | undefined => {
@@ -22,12 +22,12 @@
       nextAt += pace.intervalMs;
       return TARGET;
     };
-    const made = relayServices(choose);
-    const chooser = { ...made.chooser, paceOf: () => pace };
-    return { ...made, chooser } as unknown as RelayServices;
+    const base = relayServices(choose);
+    const chooser = { ...base.chooser, paceOf: () => pace };
+    return { ...base, chooser } as unknown as RelayServices;
   }
 
-  it('is refused at once where none can take it', async () => {
+  it('is refused at once if no cold host can take it', async () => {
     const startedAt = monotonicMs();
     const until = startedAt + 5_000;
     expect(await awaitPacedTarget(services(undefined), () => QUERY, { until, gone })).to.equal(
@@ -36,46 +36,49 @@
     expect(monotonicMs() - startedAt).to.be.below(100);
   });
 
-  it('is refused at once where the next send comes too late', async () => {
+  it('is refused at once if the next turn is too late', async () => {
     const startedAt = monotonicMs();
-    const far = services({ nextInMs: 2_000, intervalMs: 1_000 });
+    const lateTurn = services({ nextInMs: 2_000, intervalMs: 1_000 });
     const until = startedAt + 1_000;
-    expect(await awaitPacedTarget(far, () => QUERY, { until, gone })).to.equal(undefined);
+    expect(await awaitPacedTarget(lateTurn, () => QUERY, { until, gone })).to.equal(undefined);
     expect(monotonicMs() - startedAt).to.be.below(100);
   });
 
-  it('takes as many requests as it gets through, and refuses the others at once', async () => {
-    const near = services({ nextInMs: 50, intervalMs: 200 });
+  it('waits if its turn comes in time; all others are refused at once', async () => {
+    const earlyTurn = services({ nextInMs: 50, intervalMs: 200 });
     const until = monotonicMs() + 400;
     const waits = Array.from({ length: 6 }, () =>
-      awaitPacedTarget(near, () => QUERY, { until, gone }),
+      awaitPacedTarget(earlyTurn, () => QUERY, { until, gone }),
     );
     const first = await Promise.race(waits.map(async wait => (await wait) ?? 'refused'));
     expect(first).to.equal('refused');
     const targets = await Promise.all(waits);
     expect(targets.filter(target => target !== undefined)).to.have.length(2);
-    expect(near.pacedWaits.count(QUERY)).to.equal(0);
+    expect(earlyTurn.pacedWaits.count(QUERY)).to.equal(0);
   });
 
-  it('serves those that wait in the order in which they came', async () => {
-    const near = services({ nextInMs: 40, intervalMs: 40 });
+  it('is served in the order of arrival', async () => {
+    const earlyTurn = services({ nextInMs: 40, intervalMs: 40 });
     const until = monotonicMs() + 1_000;
     const served: number[] = [];
-    const waits = Array.from({ length: 6 }, async (_, at) => {
-      await awaitPacedTarget(near, () => QUERY, { until, gone });
-      served.push(at);
+    const waits = Array.from({ length: 6 }, async (_, index) => {
+      await awaitPacedTarget(earlyTurn, () => QUERY, { until, gone });
+      served.push(index);
     });
     await Promise.all(waits);
     expect(served).to.deep.equal([0, 1, 2, 3, 4, 5]);
   });
 
-  it('ends soon after no cold host can take it any more', async () => {
+  it('is refused soon after no cold host can take it any more', async () => {
     let pace: SendPace | undefined = { nextInMs: 500, intervalMs: 500 };
-    const made = services(undefined);
-    const chooser = { ...made.chooser, paceOf: () => pace };
-    const waits = { ...made, chooser } as unknown as RelayServices;
+    const base = services(undefined);
+    const chooser = { ...base.chooser, paceOf: () => pace };
+    const changingServices = { ...base, chooser } as unknown as RelayServices;
     const startedAt = monotonicMs();
-    const wait = awaitPacedTarget(waits, () => QUERY, { until: startedAt + 5_000, gone });
+    const wait = awaitPacedTarget(changingServices, () => QUERY, {
+      until: startedAt + 5_000,
+      gone,
+    });
     setTimeout(() => {
       pace = undefined;
     }, 50);
@@ -83,13 +86,13 @@
     expect(monotonicMs() - startedAt).to.be.within(40, 300);
   });
 
-  it('ends when the caller goes, without a send', async () => {
-    const caller = new AbortController();
-    const near = services({ nextInMs: 60, intervalMs: 200 });
+  it('stops waiting without a send when its caller disconnects', async () => {
+    const disconnection = new AbortController();
+    const earlyTurn = services({ nextInMs: 60, intervalMs: 200 });
     const until = monotonicMs() + 5_000;
-    const wait = awaitPacedTarget(near, () => QUERY, { until, gone: caller.signal });
-    caller.abort();
+    const wait = awaitPacedTarget(earlyTurn, () => QUERY, { until, gone: disconnection.signal });
+    disconnection.abort();
     expect(await wait).to.equal(undefined);
-    expect(near.pacedWaits.count(QUERY)).to.equal(0);
+    expect(earlyTurn.pacedWaits.count(QUERY)).to.equal(0);
   });
 });
--- a/packages/entry/src/requests/paced-wait.ts
+++ b/packages/entry/src/requests/paced-wait.ts
@@ -1,59 +1,61 @@
 /**
- * Requests that wait because only hosts that take few requests are left, and their rate is used up. A request waits
- * only if its turn, behind those that wait already, comes in time; the others are refused at once.
+ * Waits for a turn at a paced (rate-limited or cold) host, if only such hosts are left and their allowance is used up.
+ * A request waits only if its turn, after all requests that already wait, comes in time; otherwise it is refused at once.
  */
 import type { Target, TargetQuery } from '../routing/target-chooser.js';
 import { monotonicMs, sleep } from '../server/time.js';
 import { claimTarget } from './claim-target.js';
 import type { RelayServices } from './relay-services.js';
 
-/** How long a request may wait. */
+/** The conditions that end a wait. */
 export type PacedWait = {
-  /** Monotonic milliseconds after which a send would be too late for an answer in time. */
+  /** Latest time of a send with which the answer can still be in time, in monotonic milliseconds. */
   readonly until: number;
   /** Aborted when the caller has disconnected. */
   readonly gone: AbortSignal;
 };
 
-/** Period in which a waiting request asks again, in milliseconds: well below the interval of sends. */
-const STEP_MS = 15;
+/** Interval in which a waiting request tries to claim a target, in milliseconds: well below the interval of sends. */
+const POLL_INTERVAL_MS = 15;
 
 /**
- * The target to which the request must be sent at once; a warm host where one becomes available meanwhile,
- * which anybody may take, a paced one for the request that has waited longest. Undefined where no paced host
- * can take the request in time, or none can any more. `query` is called for each attempt to choose.
+ * Returns the target to which the request must be sent at once: any waiting request may claim a host that is not
+ * paced once there is one, but only the request that has waited longest may claim a paced one. Undefined if no paced
+ * host can take the request in time, or none can any more. `query` is called for each choice.
  */
 export async function awaitPacedTarget(
   services: RelayServices,
   query: () => TargetQuery,
-  { until, gone }: PacedWait,
+  { until, gone: callerSignal }: PacedWait,
 ): Promise<Target | undefined> {
   const { chooser, pacedWaits } = services;
-  const asked = query();
-  const pace = chooser.paceOf(asked);
+  const initialQuery = query();
+  const pace = chooser.paceOf(initialQuery);
   if (pace === undefined) {
     return undefined;
   }
-  const turnInMs = pace.nextInMs + pacedWaits.count(asked) * pace.intervalMs;
+  const turnInMs = pace.nextInMs + pacedWaits.count(initialQuery) * pace.intervalMs;
   if (monotonicMs() + turnInMs > until) {
     return undefined;
   }
-  const place = pacedWaits.enter(asked);
+  const queueEntry = pacedWaits.enter(initialQuery);
   try {
-    while (monotonicMs() < until && !gone.aborted) {
-      await sleep(STEP_MS, gone);
-      const leavesPaced = !place.isFirst();
-      const target = gone.aborted ? undefined : claimTarget(services, { ...query(), leavesPaced });
+    while (monotonicMs() < until && !callerSignal.aborted) {
+      await sleep(POLL_INTERVAL_MS, callerSignal);
+      const leavesPaced = !queueEntry.isFirst();
+      const target = callerSignal.aborted
+        ? undefined
+        : claimTarget(services, { ...query(), leavesPaced });
       if (target !== undefined) {
         return target;
       }
-      // Evacuated, or the turns belong to another entry host now: its caller is told at once.
+      // The hosts were evacuated, or another entry host has their turns now: the request is refused at once.
       if (chooser.paceOf(query()) === undefined) {
         return undefined;
       }
     }
     return undefined;
   } finally {
-    place.leave();
+    queueEntry.leave();
   }
 }
--- a/packages/entry/src/requests/paced-waits.ts
+++ b/packages/entry/src/requests/paced-waits.ts
@@ -1,43 +1,44 @@
-/** The order of requests that wait for the same paced hosts. */
+/** Queues of requests that wait for the same paced (rate-limited or cold) hosts. */
 import type { TargetQuery } from '../routing/target-chooser.js';
 
-/** The place of one request in the order of those that wait for the same paced hosts. */
+/** The entry of one request in the queue for the same paced hosts. */
 export type PacedPlace = {
-  /** True for the one that has waited longest. */
+  /** True if no other request in the queue has waited longer. */
   readonly isFirst: () => boolean;
+  /** Removes the request from the queue. */
   readonly leave: () => void;
 };
 
-/** Waiting requests in the order in which they came, by service, model and home regions. */
+/** Queues of waiting requests in the order of their arrival, by service, model and home regions. */
 export class PacedWaits {
-  readonly #waiting = new Map<string, PacedPlace[]>();
+  readonly #queues = new Map<string, PacedPlace[]>();
 
-  /** Requests that wait for the same paced hosts. */
+  /** Number of requests that wait for the same paced hosts. */
   count(query: TargetQuery): number {
-    return this.#waiting.get(keyOf(query))?.length ?? 0;
+    return this.#queues.get(queueKeyOf(query))?.length ?? 0;
   }
 
-  /** One more waits, behind all others, until it leaves. */
+  /** Appends a request to the queue; it stays there until it leaves. */
   enter(query: TargetQuery): PacedPlace {
-    const key = keyOf(query);
-    const places = this.#waiting.get(key) ?? [];
-    this.#waiting.set(key, places);
-    const place: PacedPlace = {
-      isFirst: () => places[0] === place,
+    const key = queueKeyOf(query);
+    const queue = this.#queues.get(key) ?? [];
+    this.#queues.set(key, queue);
+    const entry: PacedPlace = {
+      isFirst: () => queue[0] === entry,
       leave: () => {
-        places.splice(places.indexOf(place), 1);
-        if (places.length === 0) {
-          this.#waiting.delete(key);
+        queue.splice(queue.indexOf(entry), 1);
+        if (queue.length === 0) {
+          this.#queues.delete(key);
         }
       },
     };
-    places.push(place);
-    return place;
+    queue.push(entry);
+    return entry;
   }
 }
 
-// Callers choose the model's name freely where the service has no engine.
-function keyOf({ service, model, homeRegions }: TargetQuery): string {
-  const served = service.engine === undefined ? '' : (model ?? '');
-  return `${service.name}/${served}/${JSON.stringify(homeRegions)}`;
+// The model counts only for services with an engine: elsewhere callers may send any name.
+function queueKeyOf({ service, model, homeRegions }: TargetQuery): string {
+  const servedModel = service.engine === undefined ? '' : (model ?? '');
+  return `${service.name}/${servedModel}/${JSON.stringify(homeRegions)}`;
 }
--- a/packages/entry/src/requests/quarantined-send.test.ts
+++ b/packages/entry/src/requests/quarantined-send.test.ts
@@ -1,4 +1,4 @@
-/** Sends of a request that is in quarantine, or comes into it. */
+/** Guards against sends of a request that is quarantined, or that is quarantined while it waits or runs. */
 import type { ServerResponse } from 'node:http';
 
 import { expect } from 'chai';
@@ -13,12 +13,12 @@
 const HEAD = { 'x-request-id': 'r', 'x-stamp': 's' };
 const STREAM = { kind: 'stream', resumable: true, gapTargetMs: 100, objectiveMs: 200 } as const;
 
-function streams(response: ServerResponse): void {
+function sendsOneEvent(response: ServerResponse): void {
   response.writeHead(200, HEAD);
   response.end('id: 1\ndata: 1\n\n');
 }
 
-function neverEnds(response: ServerResponse): void {
+function neverCompletes(response: ServerResponse): void {
   response.writeHead(200, HEAD);
   response.flushHeaders();
 }
@@ -26,11 +26,11 @@
 describe('a request in quarantine', () => {
   const hosts: UpstreamStandIn[] = [];
   let isQuarantined: boolean;
-  let cancel: (() => void) | undefined;
+  let quarantineRun: (() => void) | undefined;
 
   beforeEach(() => {
     isQuarantined = true;
-    cancel = undefined;
+    quarantineRun = undefined;
   });
 
   afterEach(() => {
@@ -41,16 +41,16 @@
 
   async function servicesTo(
     answer: (response: ServerResponse) => void,
-    mayTry = false,
+    isTrialGranted = false,
   ): Promise<RelayServices> {
     const host = new UpstreamStandIn(answer);
     hosts.push(host);
     const target: Target = await host.listen('h');
     const services = relayServices(() => target);
     Object.assign(services.quarantine, {
-      claimTrial: () => Promise.resolve(mayTry),
+      claimTrial: () => Promise.resolve(isTrialGranted),
       guard: (_context: RequestContext, onVerdict: () => void) => {
-        cancel = onVerdict;
+        quarantineRun = onVerdict;
         return () => undefined;
       },
     });
@@ -58,13 +58,13 @@
   }
 
   function contextOf(change = {}): ReturnType<typeof requestContext> {
-    const made = requestContext('r', change);
-    return { ...made, context: { ...made.context, isQuarantined: () => isQuarantined } };
+    const base = requestContext('r', change);
+    return { ...base, context: { ...base.context, isQuarantined: () => isQuarantined } };
   }
 
-  it('reaches no host, and is refused as one that has not run', async () => {
+  it('is sent to no host, and is refused as not run', async () => {
     for (const change of [STREAM, {}]) {
-      const services = await servicesTo(streams);
+      const services = await servicesTo(sendsOneEvent);
       const { context, answer } = contextOf(change);
       const Relay = context.route.kind === 'stream' ? StreamRelay : PlainRelay;
       await new Relay(context, services).run();
@@ -73,15 +73,15 @@
     }
   });
 
-  it('runs once where it may be tried', async () => {
-    const services = await servicesTo(streams, true);
+  it('runs once as a trial', async () => {
+    const services = await servicesTo(sendsOneEvent, true);
     const { context, answer } = contextOf(STREAM);
     await new StreamRelay(context, services).run();
     expect(answer.status).to.equal(200);
     expect(hosts[0]?.seen).to.deep.equal(['r']);
   });
 
-  it('is not sent on after a trial that has ended its host', async () => {
+  it('is not sent again after a trial that crashed its host', async () => {
     const services = await servicesTo(response => {
       response.destroy();
     }, true);
@@ -91,29 +91,29 @@
     expect(hosts[0]?.seen).to.deep.equal(['r']);
   });
 
-  it('is cancelled where it runs when the verdict comes, and not refused as if it had not run', async () => {
+  it('is cancelled if it is quarantined during a run, and not refused as not run', async () => {
     for (const change of [STREAM, {}]) {
       isQuarantined = false;
-      const services = await servicesTo(neverEnds);
+      const services = await servicesTo(neverCompletes);
       const { context, answer } = contextOf(change);
       const Relay = context.route.kind === 'stream' ? StreamRelay : PlainRelay;
       const run = new Relay(context, services).run();
       await new Promise(resolve => setTimeout(resolve, 50));
       isQuarantined = true;
-      cancel?.();
+      quarantineRun?.();
       await run;
       expect(answer).to.deep.equal({ status: 502, body: '{"reason":"quarantined"}' });
       expect(hosts.at(-1)?.seen).to.deep.equal(['r']);
     }
   });
 
-  it('is not sent when its turn at a cold host comes after the verdict', async () => {
+  it('is not sent if it is quarantined before its turn at a cold host', async () => {
     isQuarantined = false;
-    const services = await servicesTo(streams);
+    const services = await servicesTo(sendsOneEvent);
     const target = services.chooser.choose({} as never);
-    const turns: Target[] = [];
+    const availableTargets: Target[] = [];
     Object.assign(services.chooser, {
-      choose: () => turns[0],
+      choose: () => availableTargets[0],
       paceOf: () => ({ nextInMs: 10, intervalMs: 10 }),
       outlook: () => ({ standings: ['cold-limit'], formingMs: undefined }),
     });
@@ -121,7 +121,7 @@
     const run = new StreamRelay(context, services).run();
     await new Promise(resolve => setTimeout(resolve, 40));
     isQuarantined = true;
-    turns.push(target as Target);
+    availableTargets.push(target as Target);
     await run;
     expect(answer).to.deep.equal({ status: 503, body: '{"reason":"quarantined"}' });
     expect(hosts[0]?.seen).to.deep.equal([]);
--- a/packages/entry/src/requests/relay-headers.ts
+++ b/packages/entry/src/requests/relay-headers.ts
@@ -1,35 +1,35 @@
-/** Headers that the product reads and sets; the adapter of a platform gives their names. */
+/** Headers that entry hosts read and set; the platform adapter provides their names. */
 
-/** Names in lower case, by meaning. */
+/** Header names in lower case, by meaning. */
 export type RelayHeaders = {
-  /** Id of one request; hosts send it back. */
+  /** Id of a request; hosts return it in the answer. */
   readonly requestId: string;
-  /** Time that is left, in milliseconds. */
+  /** Time left until the final answer is due, in milliseconds. */
   readonly deadlineMs: string;
   /** Id of the host that is to take the request. */
   readonly expectHost: string;
   /** Workspace of the caller. */
   readonly workspace: string;
-  /** Rank at the host, 0 first. */
+  /** Priority of the request at the host; 0 is the highest. */
   readonly urgency: string;
-  /** Signature of the host under an answer. */
+  /** Signature with which a host signs its answer. */
   readonly answerStamp: string;
-  /** Present when the host has not run the request and will not. */
+  /** Present if the host has not run the request and will not run it. */
   readonly notExecuted: string;
   readonly model: string;
   readonly tokenCounts: string;
   readonly lengthHint: string;
-  /** Event behind which a stream goes on. */
+  /** Id of the event after which a stream is to resume. */
   readonly lastEventId: string;
-  /** Host to blame for a refusal. */
+  /** Id of the host that caused a refusal. */
   readonly faultyHost: string;
-  /** `1` in each answer of a host that is shutting down. */
+  /** `1` in each answer from a host that is shutting down. */
   readonly hostLeaving: string;
-  /** Requests a second that the host takes from all entry hosts together; a decimal number. */
+  /** Rate limit of the host over all entry hosts, in requests a second; a decimal number. */
   readonly hostLimit: string;
 };
 
-/** Name and value, one after the other, as received. */
+/** Header names and values in alternation, as received. */
 export type RawHeaders = readonly string[];
 
 /** Headers that concern one connection only (RFC 9110, 7.6.1). */
@@ -46,28 +46,29 @@
   'expect',
 ]);
 
-/** Headers that go on to the other side: without those of the connection and the given ones. */
+/** The headers to forward: without those that concern the connection, and without those in `without`. */
 export function endToEndHeaders(raw: RawHeaders, without: ReadonlySet<string>): string[] {
-  const named = namedByConnection(raw);
+  const connectionOptions = connectionOptionsOf(raw);
   const kept: string[] = [];
   for (let index = 0; index + 1 < raw.length; index += 2) {
     const name = raw[index] ?? '';
     const lower = name.toLowerCase();
-    if (!CONNECTION_HEADERS.has(lower) && !without.has(lower) && !named.has(lower)) {
+    if (!CONNECTION_HEADERS.has(lower) && !without.has(lower) && !connectionOptions.has(lower)) {
       kept.push(name, raw[index + 1] ?? '');
     }
   }
   return kept;
 }
 
-function namedByConnection(raw: RawHeaders): ReadonlySet<string> {
-  const named = new Set<string>();
+// The `Connection` header lists further headers that concern this connection only.
+function connectionOptionsOf(raw: RawHeaders): ReadonlySet<string> {
+  const options = new Set<string>();
   for (let index = 0; index + 1 < raw.length; index += 2) {
     if (raw[index]?.toLowerCase() === 'connection') {
       for (const name of (raw[index + 1] ?? '').split(',')) {
-        named.add(name.trim().toLowerCase());
+        options.add(name.trim().toLowerCase());
       }
     }
   }
-  return named;
+  return options;
 }
--- a/packages/entry/src/requests/relay-services.ts
+++ b/packages/entry/src/requests/relay-services.ts
@@ -1,4 +1,4 @@
-/** What the relays of requests share. */
+/** The services of an entry host that its relays use. */
 import type { Service } from '../configuration/serving-configuration.js';
 import type { HostRegistry } from '../hosts/host-registry.js';
 import type { QuarantineGate } from '../quarantine/request-quarantine.js';
@@ -17,33 +17,33 @@
 import type { KnowledgeAtSend } from './standing-at-send.js';
 import type { UpstreamConnections } from './upstream-connections.js';
 
-/** Shared by all requests. */
+/** Services that the relays of all requests share. */
 export type RelayServices = {
   readonly headers: RelayHeaders;
   readonly registry: HostRegistry;
   readonly chooser: TargetChooser;
   readonly activities: HostActivities;
-  /** What hosts have said about themselves with their answers. */
+  /** Backoffs and shutdowns that hosts have reported in their answers. */
   readonly notices: HostNotices;
-  /** The limits that they have named. */
+  /** Rate limits that hosts have named in their answers. */
   readonly namedLimits: NamedLimits;
   readonly stalls: StallMonitor;
   readonly demand: DemandMeter;
   readonly budgetOf: (service: string) => RetryBudget;
   readonly connectionsOf: (service: Service) => UpstreamConnections;
-  /** Tells the other entry hosts and the one that gives orders that a group stalls or is lost. */
+  /** Reports to the lease holder and the other entry hosts that a group is stalled or lost. */
   readonly suspect: (target: Target, isUnreachable: boolean) => void;
   /** True while entry hosts report that they can not connect to the target. */
   readonly isUnreachable: (target: Target) => boolean;
-  /** Requests that wait for their turn at hosts that take few. */
+  /** Queues of requests that wait for their turn at rate-limited or cold hosts. */
   readonly pacedWaits: PacedWaits;
-  /** Finds out which requests crash the hosts that run them. */
+  /** Keeps requests that crash their hosts from being sent, and runs trials of them. */
   readonly quarantine: QuarantineGate;
-  /** Decides at the moment of each send whether it may happen. */
+  /** Decides at the moment of each send whether the host may receive the request. */
   readonly eligibility: SendEligibility;
-  /** True while keys may be honoured. */
+  /** True while the configuration is recent enough for keys to be accepted by it. */
   readonly keysHold: () => boolean;
-  /** What is known now of configuration and hosts; noted with each send. */
+  /** Version and ages of the known configuration and hosts; recorded at each send. */
   readonly knowledge: () => KnowledgeAtSend;
   readonly log: Log;
   readonly counters: Counters;
--- a/packages/entry/src/requests/request-context.ts
+++ b/packages/entry/src/requests/request-context.ts
@@ -1,41 +1,42 @@
-/** One request of a caller, read and admitted. */
+/** The context of a request: what relays and routing need from the moment of its admission on. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 
 import type { Route, Service } from '../configuration/serving-configuration.js';
 import type { RequestFingerprint } from '../quarantine/request-fingerprint.js';
 import type { RequestHomes } from './home-regions.js';
 
-/** A request of a caller. */
+/** An admitted request of a caller, whose body has been read. */
 export type RequestContext = {
+  /** Id from the request's header; empty if it has none. */
   readonly id: string;
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
   readonly body: Buffer | undefined;
   readonly route: Route;
   readonly service: Service;
-  /** Fingerprint of the content, which stays the same when it is sent again; made at the first call. */
+  /** Fingerprint of the content, equal for each repetition of the request; computed at the first call. */
   readonly fingerprint: () => RequestFingerprint;
-  /** True while no host may get the request, since it crashes those that run it. */
+  /** True while the request may not be sent to any host, because it crashes the hosts that run it. */
   readonly isQuarantined: () => boolean;
   /** Workspace of the caller's key; undefined on public routes. */
   readonly workspace: string | undefined;
-  /** Home regions of its route and of its workspace; asked anew at each send. */
+  /** Home regions of its route and of its workspace; looked up again at each send. */
   readonly homes: RequestHomes;
-  /** Rank among all requests, 0 first. */
+  /** Priority among all requests; 0 is the highest. */
   readonly priority: number;
-  /** Model that the request names. */
+  /** Model that the request names; undefined if it names none. */
   readonly model: string | undefined;
-  /** Event behind which the caller wants the stream to go on. */
+  /** Id of the last event that the caller has received; the stream is to resume after it. */
   readonly lastEventId: string | undefined;
-  /** Monotonic milliseconds. */
+  /** When the request was received, in monotonic milliseconds. */
   readonly arrivedAt: number;
-  /** Monotonic milliseconds at which the final answer is due. */
+  /** When the final answer is due, in monotonic milliseconds. */
   readonly deadline: number;
-  /** Raised when the caller has gone. */
+  /** Aborted when the caller's connection is closed. */
   readonly gone: AbortSignal;
 };
 
-/** True when the request may run more than once. */
+/** True if requests of the route may run more than once. */
 export function mayRepeat(route: Route): boolean {
   return route.kind === 'idempotent' || (route.kind === 'stream' && route.resumable);
 }
--- a/packages/entry/src/requests/request-intake.ts
+++ b/packages/entry/src/requests/request-intake.ts
@@ -1,4 +1,4 @@
-/** Reads a caller's request, finds its route and workspace, and hands it to a relay. */
+/** Reads a caller's request, looks up its route and workspace, and passes it to a relay. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 
 import type { ConfigurationHolder } from '../configuration/configuration-holder.js';
@@ -16,14 +16,18 @@
 import type { RequestContext } from './request-context.js';
 import { StreamRelay } from './stream-relay.js';
 
-const RETRY_AFTER_MS = 500;
-/** Age of the confirmation up to which this host says no to what it does not know. */
-const NEGATIVE_ANSWER_AGE_MS = 4_000;
-/** Without a reason each abort makes an error with a stack, at the end of every request. */
-const CALLER_GONE = 'the connection of the caller is closed';
+/** `Retry-After` of a request that this entry host can not admit at the moment, in milliseconds. */
+const UNAVAILABLE_RETRY_AFTER_MS = 500;
+/**
+ * Greatest age of the configuration's last confirmation, in milliseconds, with which this entry host still rejects
+ * unknown routes and keys.
+ */
+const MAX_REJECTION_CONFIRMATION_AGE_MS = 4_000;
+/** Reason of the abort at the end of every request: without one, each abort would create an error with a stack. */
+const DISCONNECT_REASON = 'caller disconnected';
 const BEARER = /^bearer\s+(\S+)\s*$/i;
 
-/** What is known of a request by its head. */
+/** The part of a request's context that follows from its head and the configuration. */
 type AdmittedRequest = Omit<
   RequestContext,
   | 'deadline'
@@ -36,7 +40,7 @@
   | 'gone'
 >;
 
-/** Admits requests. */
+/** Admits or refuses the requests of callers, and counts them. */
 export class RequestIntake {
   readonly #holder: ConfigurationHolder;
   readonly #services: RelayServices;
@@ -48,40 +52,44 @@
     this.#services = services;
   }
 
-  /** Requests in progress. */
+  /** Number of requests in progress. */
   get open(): number {
     return this.#open;
   }
 
-  /** Requests since the start of this process. */
+  /** Number of requests received since this process started. */
   get total(): number {
     return this.#total;
   }
 
-  /** Takes a request to its final answer. */
+  /** Processes a request until it has its final answer. */
   handle(request: IncomingMessage, response: ServerResponse): void {
     this.#open += 1;
     this.#total += 1;
-    const gone = new AbortController();
+    const disconnection = new AbortController();
     response.once('close', () => {
       this.#open -= 1;
-      gone.abort(CALLER_GONE);
+      disconnection.abort(DISCONNECT_REASON);
     });
-    this.#run(request, response, gone.signal).catch((error: unknown) => {
+    this.#run(request, response, disconnection.signal).catch((error: unknown) => {
       this.#services.log.error('request failed', { cause: String((error as Error).stack) });
       response.destroy();
     });
   }
 
-  async #run(request: IncomingMessage, response: ServerResponse, gone: AbortSignal): Promise<void> {
+  async #run(
+    request: IncomingMessage,
+    response: ServerResponse,
+    callerSignal: AbortSignal,
+  ): Promise<void> {
     const arrivedAt = monotonicMs();
     const table = this.#holder.table;
     const body = await readBody(request, table?.limits.maxBodyBytes ?? 0);
-    if (gone.aborted) {
+    if (callerSignal.aborted) {
       return;
     }
-    if (isCut(body)) {
-      this.#endCut(request, response, body.cutBy);
+    if (isIncomplete(body)) {
+      this.#dropIncomplete(request, response, body.readError);
       return;
     }
     if (table === undefined) {
@@ -97,14 +105,14 @@
       this.#refuse(request, response, admitted);
       return;
     }
-    await this.#relay({ ...admitted, request, response, body, arrivedAt, gone });
+    await this.#relay({ ...admitted, request, response, body, arrivedAt, gone: callerSignal });
   }
 
-  // Without its whole body it is not the caller's request, and nobody waits for an answer.
-  #endCut(request: IncomingMessage, response: ServerResponse, error: Error): void {
+  // An incomplete body must not be relayed, and the caller's connection is closed: no answer can reach it.
+  #dropIncomplete(request: IncomingMessage, response: ServerResponse, error: Error): void {
     const { counters, log, headers: names } = this.#services;
     counters.count('requests_cut_total');
-    log.info('request cut by its caller', {
+    log.info('caller disconnected before its request was complete', {
       request: header(request, names.requestId),
       cause: error.message,
     });
@@ -114,14 +122,15 @@
   #relay(
     context: Omit<RequestContext, 'deadline' | 'fingerprint' | 'isQuarantined'>,
   ): Promise<void> {
-    const given = Number(header(context.request, this.#services.headers.deadlineMs));
-    const limit = given > 0 ? Math.min(given, context.route.timeoutMs) : context.route.timeoutMs;
-    const fingerprint = fingerprintOnce(context);
-    const full: RequestContext = {
+    const requestedMs = Number(header(context.request, this.#services.headers.deadlineMs));
+    const limitMs =
+      requestedMs > 0 ? Math.min(requestedMs, context.route.timeoutMs) : context.route.timeoutMs;
+    const fingerprint = memoizedFingerprint(context);
+    const completeContext: RequestContext = {
       ...context,
       fingerprint,
       isQuarantined: () => this.#services.quarantine.holds(fingerprint),
-      deadline: context.arrivedAt + limit,
+      deadline: context.arrivedAt + limitMs,
     };
     this.#services.budgetOf(context.service.name).noteRequest();
     if (context.model !== undefined) {
@@ -130,18 +139,18 @@
     }
     const relay =
       context.route.kind === 'stream'
-        ? new StreamRelay(full, this.#services)
-        : new PlainRelay(full, this.#services);
+        ? new StreamRelay(completeContext, this.#services)
+        : new PlainRelay(completeContext, this.#services);
     return relay.run();
   }
 
   #admit(table: RouteTable, request: IncomingMessage): AdmittedRequest | FinalAnswer {
     const names = this.#services.headers;
-    const key = keyOf(request);
-    const named = { hostHeader: request.headers.host ?? '', url: request.url ?? '/', key };
-    const route = table.routeOf(named.hostHeader, named.url);
+    const key = bearerKeyOf(request);
+    const lookup = { hostHeader: request.headers.host ?? '', url: request.url ?? '/', key };
+    const route = table.routeOf(lookup.hostHeader, lookup.url);
     if (route === undefined) {
-      return this.#negative(404, 'no-route');
+      return this.#rejectIfConfirmed(404, 'no-route');
     }
     const needsKey = table.keysRequired && !route.isPublic;
     const workspace = key === undefined ? undefined : table.workspaceOf(key);
@@ -150,7 +159,7 @@
         return unavailable('keys-lapsed');
       }
       if (workspace === undefined) {
-        return this.#negative(401, key === undefined ? 'no-key' : 'unknown-key');
+        return this.#rejectIfConfirmed(401, key === undefined ? 'no-key' : 'unknown-key');
       }
     }
     const serviceName = pickService(route, Math.random());
@@ -163,16 +172,16 @@
       route,
       service,
       workspace: workspace?.name,
-      homes: new RequestHomes(() => this.#holder.table, named, { route, workspace }),
+      homes: new RequestHomes(() => this.#holder.table, lookup, { route, workspace }),
       priority: priorityOf(route, workspace?.priority),
       model: header(request, names.model),
       lastEventId: header(request, names.lastEventId),
     };
   }
 
-  // What this host does not know may be newer than its configuration.
-  #negative(status: number, reason: AnswerReason): FinalAnswer {
-    return this.#holder.confirmationAgeMs > NEGATIVE_ANSWER_AGE_MS
+  // A route or key that this entry host does not know may be newer than its configuration.
+  #rejectIfConfirmed(status: number, reason: AnswerReason): FinalAnswer {
+    return this.#holder.confirmationAgeMs > MAX_REJECTION_CONFIRMATION_AGE_MS
       ? unavailable('configuration-unconfirmed')
       : { status, reason };
   }
@@ -191,37 +200,37 @@
   }
 }
 
-// Most requests need no fingerprint, and the others need it several times.
-function fingerprintOnce(
+// Computed at the first call and kept: most requests need no fingerprint, the others need it several times.
+function memoizedFingerprint(
   context: Pick<RequestContext, 'request' | 'workspace' | 'body'>,
 ): () => RequestFingerprint {
   const { request, workspace, body } = context;
-  let made: RequestFingerprint | undefined;
+  let computed: RequestFingerprint | undefined;
   return () => {
-    made ??= fingerprintOf({
+    computed ??= fingerprintOf({
       method: request.method ?? '',
       host: request.headers.host ?? '',
       url: request.url ?? '',
       workspace,
       body,
     });
-    return made;
+    return computed;
   };
 }
 
-function isCut(body: Buffer | string | CutBody | undefined): body is CutBody {
-  return typeof body === 'object' && 'cutBy' in body;
+function isIncomplete(body: Buffer | string | IncompleteBody | undefined): body is IncompleteBody {
+  return typeof body === 'object' && 'readError' in body;
 }
 
 function unavailable(reason: AnswerReason): FinalAnswer {
-  return { status: 503, reason, retryAfterMs: RETRY_AFTER_MS };
+  return { status: 503, reason, retryAfterMs: UNAVAILABLE_RETRY_AFTER_MS };
 }
 
-function priorityOf(route: Route, ofWorkspace: number | undefined): number {
-  return ofWorkspace ?? route.priority;
+function priorityOf(route: Route, workspacePriority: number | undefined): number {
+  return workspacePriority ?? route.priority;
 }
 
-function keyOf(request: IncomingMessage): string | undefined {
+function bearerKeyOf(request: IncomingMessage): string | undefined {
   return BEARER.exec(request.headers.authorization ?? '')?.[1];
 }
 
@@ -230,14 +239,14 @@
   return typeof value === 'string' ? value : undefined;
 }
 
-/** The caller's connection ended before the whole body had come. */
-type CutBody = { readonly cutBy: Error };
+/** The error that ended the caller's connection before the whole body was received. */
+type IncompleteBody = { readonly readError: Error };
 
-// Undefined where the request has no body at all.
+// Undefined if the request has no body.
 async function readBody(
   request: IncomingMessage,
   maxBytes: number,
-): Promise<Buffer | undefined | 'too-large' | CutBody> {
+): Promise<Buffer | undefined | 'too-large' | IncompleteBody> {
   const { headers } = request;
   if (headers['content-length'] === undefined && headers['transfer-encoding'] === undefined) {
     request.resume();
@@ -253,7 +262,7 @@
       }
     }
   } catch (error) {
-    return { cutBy: error as Error };
+    return { readError: error as Error };
   }
   return bytes > maxBytes ? 'too-large' : Buffer.concat(chunks);
 }
--- a/packages/entry/src/requests/retry-after.test.ts
+++ b/packages/entry/src/requests/retry-after.test.ts
@@ -7,14 +7,15 @@
 const QUERY = { exclude: new Set(['h']) } as unknown as TargetQuery;
 const USUAL_MS = 250;
 
-type Given = {
+/** What is known of the hosts, and the number of requests that wait for them; times in milliseconds. */
+type HostFacts = {
   readonly backoffMs?: number;
   readonly placeMs?: number;
   readonly intervalMs?: number;
   readonly waiting?: number;
 };
 
-function toldMs({ backoffMs, placeMs, intervalMs, waiting = 0 }: Given): number {
+function retryAfterWith({ backoffMs, placeMs, intervalMs, waiting = 0 }: HostFacts): number {
   const pace = intervalMs === undefined ? undefined : { nextInMs: placeMs ?? 0, intervalMs };
   const services = {
     chooser: { outlook: () => ({ backoffMs }), placeInMs: () => placeMs, paceOf: () => pace },
@@ -23,18 +24,18 @@
   return retryAfterMs(services, QUERY, USUAL_MS);
 }
 
-describe('when a refused caller is told to come back', () => {
-  it('is the usual time where nothing is known', () => {
-    expect(toldMs({})).to.equal(USUAL_MS);
+describe('Retry-After of a refused request', () => {
+  it('is the usual time if nothing is known', () => {
+    expect(retryAfterWith({})).to.equal(USUAL_MS);
   });
 
-  it('is when the first host takes requests again', () => {
-    expect(toldMs({ backoffMs: 1_800 })).to.equal(1_800);
+  it('is the time until the first backoff ends', () => {
+    expect(retryAfterWith({ backoffMs: 1_800 })).to.equal(1_800);
   });
 
-  it('is when there is a place behind those that wait for one here', () => {
-    expect(toldMs({ placeMs: 700, intervalMs: 1_050 })).to.equal(700);
-    expect(toldMs({ placeMs: 700, intervalMs: 1_050, waiting: 2 })).to.equal(2_800);
-    expect(toldMs({ placeMs: 666.7 })).to.equal(667);
+  it('is the time until a host has a turn after the requests that already wait', () => {
+    expect(retryAfterWith({ placeMs: 700, intervalMs: 1_050 })).to.equal(700);
+    expect(retryAfterWith({ placeMs: 700, intervalMs: 1_050, waiting: 2 })).to.equal(2_800);
+    expect(retryAfterWith({ placeMs: 666.7 })).to.equal(667);
   });
 });
--- a/packages/entry/src/requests/retry-after.ts
+++ b/packages/entry/src/requests/retry-after.ts
@@ -1,17 +1,17 @@
 /**
- * `Retry-After` of requests that were refused and have not run. When a host will take them is known where all hosts
- * have asked for no requests for a time, and where those that are left take few a second.
+ * Computes the `Retry-After` of requests that were refused without a run. The time at which a host will take them is
+ * known if all hosts are backing off, or if only rate-limited and cold hosts are left.
  */
 import type { TargetQuery } from '../routing/target-chooser.js';
 import type { AnswerReason } from './final-answer.js';
 import type { RelayServices } from './relay-services.js';
 
-/** Where hosts were busy, in milliseconds: some of their requests have ended by then. */
+/** `Retry-After` if the hosts were busy, in milliseconds: some of their requests will have ended by then. */
 export const RETRY_AFTER_MS = 250;
 /**
- * Where no host may take the request, in milliseconds. When that ends is not known; at the earliest when a
- * group of hosts that have its model loaded has formed, which takes some hundred milliseconds. Callers that
- * retry before then would be refused again; callers that retry much later would wait for nothing.
+ * `Retry-After` if no host may receive the request, in milliseconds. The end of that state is not known; at the earliest
+ * it is when hosts that have the model loaded have formed a group, which takes some hundred milliseconds. Callers that
+ * retry sooner would be refused again; callers that retry much later would lose time.
  */
 export const RETRY_AFTER_NO_HOST_MS = 800;
 
@@ -21,21 +21,21 @@
 }
 
 /**
- * Time after which there will be a place for a request that is refused now, in milliseconds; `usualMs` where it is not
- * known. Counted for a later send, which may go to the hosts that this one was sent to.
+ * Time after which a host can take a request that is refused now, in milliseconds; `usualMs` if it is not known. It is
+ * computed for a later request, which may be sent to the hosts that this one was sent to.
  */
 export function retryAfterMs(
   { chooser, pacedWaits }: Pick<RelayServices, 'chooser' | 'pacedWaits'>,
   query: TargetQuery,
   usualMs: number,
 ): number {
-  const later = { ...query, exclude: new Set<string>() };
-  const { backoffMs } = chooser.outlook(later);
-  const placeMs = chooser.placeInMs(later);
+  const laterQuery = { ...query, exclude: new Set<string>() };
+  const { backoffMs } = chooser.outlook(laterQuery);
+  const placeMs = chooser.placeInMs(laterQuery);
   if (backoffMs !== undefined || placeMs === undefined) {
     return backoffMs ?? usualMs;
   }
-  // Those that wait here already come first.
-  const waitingMs = pacedWaits.count(later) * (chooser.paceOf(later)?.intervalMs ?? 0);
-  return Math.ceil(placeMs + waitingMs);
+  // Requests that already wait at this entry host are served first.
+  const queueMs = pacedWaits.count(laterQuery) * (chooser.paceOf(laterQuery)?.intervalMs ?? 0);
+  return Math.ceil(placeMs + queueMs);
 }
--- a/packages/entry/src/requests/service-limits.ts
+++ b/packages/entry/src/requests/service-limits.ts
@@ -1,4 +1,4 @@
-/** Retry budgets and upstream connections by service, made on first use. */
+/** Retry budgets and upstream connections by service, created on first use. */
 import type { Service } from '../configuration/serving-configuration.js';
 import type { HostEntry } from '../hosts/host-entry.js';
 import type { RetryBounds } from '../routing/retry-budget.js';
@@ -9,27 +9,28 @@
 import type { ConnectionObserver } from './upstream-connections.js';
 import { UpstreamConnections } from './upstream-connections.js';
 
-/** Options of the limits. */
+/** Options of {@link ServiceLimits}. */
 export type ServiceLimitsOptions = {
-  /** Bounds over all entry hosts. */
+  /** Bounds on the retries of all entry hosts together. */
   readonly retries: RetryBounds;
-  /** Number of entry hosts; 0 while it is not known, undefined where they do not know each other. */
+  /** Number of entry hosts; 0 while it is not known, undefined if entry hosts do not know their peers. */
   readonly hosts: () => number | undefined;
   readonly log: Log;
   readonly counters: Counters;
 };
 
-/** Entry hosts among which the bounds are divided where they have no peers: deployments of few hosts. */
-const HOSTS_WITHOUT_PEERS = 10;
-/** Least number of entry hosts among which a host's connections are divided. */
-const MIN_CONNECTION_PARTS = 12;
+/** Entry hosts among which the bounds are divided if they do not know their peers: in deployments of few hosts. */
+const ENTRY_HOSTS_WITHOUT_PEERS = 10;
+/** Least number of entry hosts among which an upstream host's connections are divided; the divisor for any number. */
+const CONNECTION_SHARES = 12;
+/** Least number of connections that an entry host may open to an upstream host. */
 const MIN_CONNECTIONS = 4;
-/** Greatest part of an upstream host's connections that all entry hosts together keep idle, 0 to 1. */
-const IDLE_PART = 0.5;
-/** Entry hosts among which that part is divided while their number is not known. */
-const UNKNOWN_HOSTS = 64;
+/** Greatest fraction of an upstream host's connections that all entry hosts together keep idle, 0 to 1. */
+const MAX_IDLE_FRACTION = 0.5;
+/** Entry hosts among which the idle connections are divided while their number is not known. */
+const ASSUMED_ENTRY_HOSTS = 64;
 
-/** Limits of all services at this entry host. */
+/** Retry budgets and connections of all services at this entry host. */
 export class ServiceLimits {
   readonly #options: ServiceLimitsOptions;
   readonly #budgets = new Map<string, RetryBudget>();
@@ -43,28 +44,28 @@
   budgetOf(service: string): RetryBudget {
     let budget = this.#budgets.get(service);
     if (budget === undefined) {
-      budget = new RetryBudget(this.#options.retries, () => this.#hosts);
+      budget = new RetryBudget(this.#options.retries, () => this.#entryHosts);
       this.#budgets.set(service, budget);
     }
     return budget;
   }
 
-  /** Connections to the hosts of a service. */
+  /** Connections to the upstream hosts of a service. */
   connectionsOf(service: Service): UpstreamConnections {
     let connections = this.#connections.get(service.name);
     if (connections === undefined) {
-      const share = Math.floor(service.maxConnections / MIN_CONNECTION_PARTS);
+      const share = Math.floor(service.maxConnections / CONNECTION_SHARES);
       const observer = this.#observerOf(service.name);
       connections = new UpstreamConnections(Math.max(MIN_CONNECTIONS, share), observer);
       this.#connections.set(service.name, connections);
     }
-    const hosts = this.#hosts || UNKNOWN_HOSTS;
-    connections.keepIdle((service.maxConnections * IDLE_PART) / hosts);
+    const entryHosts = this.#entryHosts || ASSUMED_ENTRY_HOSTS;
+    connections.keepIdle((service.maxConnections * MAX_IDLE_FRACTION) / entryHosts);
     return connections;
   }
 
-  get #hosts(): number {
-    return this.#options.hosts() ?? HOSTS_WITHOUT_PEERS;
+  get #entryHosts(): number {
+    return this.#options.hosts() ?? ENTRY_HOSTS_WITHOUT_PEERS;
   }
 
   #observerOf(service: string): ConnectionObserver {
@@ -74,7 +75,7 @@
         counters.count('upstream_connections_total', { cause });
       },
       announced: idleMs => {
-        log.info('upstream announces idle time', { service, idleMs });
+        log.info('upstream host announced its idle timeout', { service, idleMs });
       },
     };
   }
@@ -84,7 +85,7 @@
     return this.#connections.get(service)?.idleMs ?? USUAL_IDLE_MS;
   }
 
-  /** True while an idle connection to the host is kept. */
+  /** True if an idle connection to the host is open. */
   isConnected({ service, ip, port }: HostEntry): boolean {
     return this.#connections.get(service)?.hasIdleTo(ip, port) ?? false;
   }
--- a/packages/entry/src/requests/standing-at-send.ts
+++ b/packages/entry/src/requests/standing-at-send.ts
@@ -1,27 +1,28 @@
-/** What this entry host believed when it sent a request to a host, for the log line of a failed attempt. */
+/** The known state of a host when a request was sent to it, for the log line of a failed attempt. */
 import type { HostEntry } from '../hosts/host-entry.js';
 import type { RelayServices } from './relay-services.js';
 
-/** What was known, and how recently the store had confirmed it. */
+/** The version of the known configuration, and how recently the store had confirmed configuration and hosts. */
 export type KnowledgeAtSend = {
-  /** Of the configuration in force. */
+  /** Version of the configuration in force. */
   readonly version: number | undefined;
-  /** Ages of the last confirmations, in milliseconds; undefined: there was none. */
+  /** Age of the configuration's last confirmation, in milliseconds; undefined if there was none. */
   readonly configurationAgeMs: number | undefined;
+  /** Age of the last confirmation of the hosts, in milliseconds; undefined if there was none. */
   readonly hostsAgeMs: number | undefined;
 };
 
-/** Fields of a log line, times in milliseconds; left out where there is nothing to tell. */
+/** Fields of the log line; times in milliseconds, undefined if they do not apply. */
 export type StandingAtSend = KnowledgeAtSend & {
-  /** For how much longer the host was to be avoided after failures. */
+  /** For how much longer the host was avoided because of failures. */
   readonly avoidedMs: number | undefined;
-  /** For how much longer the host had asked for no requests. */
+  /** Rest of the backoff that the host had asked for. */
   readonly backoffMs: number | undefined;
-  /** Requests a second that it takes from all entry hosts together. */
+  /** Rate limit of the host over all entry hosts, in requests a second. */
   readonly limitPerS: number | undefined;
 };
 
-/** The standing of a host; `now` in monotonic milliseconds. */
+/** The known state of a host; `now` in monotonic milliseconds. */
 export function standingAtSend(
   {
     activities,
@@ -33,13 +34,13 @@
   now: number,
 ): StandingAtSend {
   return {
-    avoidedMs: toldMs(activities.avoidedLeftMs(host.id, now)),
-    backoffMs: toldMs(notices.backoffLeftMs(host, now)),
+    avoidedMs: roundedIfPositive(activities.avoidedLeftMs(host.id, now)),
+    backoffMs: roundedIfPositive(notices.backoffLeftMs(host, now)),
     limitPerS: namedLimits.perSecondOf(host),
     ...knowledge(),
   };
 }
 
-function toldMs(ms: number): number | undefined {
+function roundedIfPositive(ms: number): number | undefined {
   return ms > 0 ? Math.round(ms) : undefined;
 }
--- a/packages/entry/src/requests/withheld-send.test.ts
+++ b/packages/entry/src/requests/withheld-send.test.ts
@@ -1,4 +1,4 @@
-/** Requests whose host may not receive them any more when they are about to be written to a connection. */
+/** Guards against the send of a request to a host that became ineligible after it was chosen. */
 import type { ServerResponse } from 'node:http';
 
 import { expect } from 'chai';
@@ -18,16 +18,16 @@
   { Relay: StreamRelay, route: { kind: 'stream', resumable: false } },
 ] as const;
 
-function answers(response: ServerResponse): void {
+function sendsOneEvent(response: ServerResponse): void {
   response.writeHead(200, HEAD).end('id: 1\ndata: 1\n\n');
 }
 
-describe('a request that a host may not have any more', () => {
+describe('a request whose chosen host has become ineligible', () => {
   let hosts: UpstreamStandIn[];
   let targets: Target[];
 
   beforeEach(async () => {
-    hosts = [new UpstreamStandIn(answers), new UpstreamStandIn(answers)];
+    hosts = [new UpstreamStandIn(sendsOneEvent), new UpstreamStandIn(sendsOneEvent)];
     targets = await Promise.all(hosts.map((host, index) => host.listen(`h${index}`)));
   });
 
@@ -37,17 +37,17 @@
     });
   });
 
-  function servicesWithout(barred: readonly string[]): RelayServices {
+  function servicesWithout(ineligible: readonly string[]): RelayServices {
     const queue = [...targets];
     const services = relayServices(() => queue.shift());
     Object.assign(services.eligibility, {
-      stillMay: ({ id }: HostEntry) => !barred.includes(id),
+      stillMay: ({ id }: HostEntry) => !ineligible.includes(id),
     });
     return services;
   }
 
   for (const { Relay, route } of RELAYS) {
-    it(`goes to another one, as a ${route.kind} request, and is no failure of the first`, async () => {
+    it(`is sent to another host as a ${route.kind} request, without a failure of the first`, async () => {
       const services = servicesWithout(['h0']);
       const { context, answer } = requestContext('r', { ...route, maxAttempts: 1 });
       await new Relay(context, services).run();
@@ -56,7 +56,7 @@
       expect(services.activities.isAvoided('h0', monotonicMs())).to.equal(false);
     });
 
-    it(`is refused as not run, as a ${route.kind} request, when there is no other`, async () => {
+    it(`is refused as not run as a ${route.kind} request if there is no other host`, async () => {
       const services = servicesWithout(['h0', 'h1']);
       const { context, answer } = requestContext('r', route);
       await new Relay(context, services).run();
