--- a/packages/entry/src/requests/backoff-wait.test.ts
+++ b/packages/entry/src/requests/backoff-wait.test.ts
@@ -1,8 +1,8 @@
 /**
- * Simulates outages in which all hosts of a service reject every request and ask each rejected entry host for a backoff.
- * Guards against a policy that serves callers worse than an immediate refusal would. Compared are requests that wait for
- * the end of the backoff, and requests that are refused at once with the true time and retried once, at any entry host.
- * There is no network, and hosts that have recovered serve every request.
+ * Simulates outages in which all hosts of a service reject every request and ask each rejected entry host for a
+ * backoff. Guards against a policy that serves callers worse than an immediate refusal would. Compared are requests
+ * that wait for the end of the backoff, and requests that are refused at once with the true time and retried once, at
+ * any entry host. There is no network, and hosts that have recovered serve every request.
  */
 import { expect } from 'chai';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
@@ -32,7 +32,7 @@
 };
 
 /** For how long the hosts reject, and the backoff that they ask for; both in milliseconds. */
-type Outage = { readonly rejectsForMs: number; readonly asksForMs: number };
+type Outage = { readonly rejectionMs: number; readonly requestedBackoffMs: number };
 
 /** Returns true if a request waits; both times in milliseconds. */
 type Policy = (backoffMs: number, leftMs: number) => boolean;
@@ -63,18 +63,18 @@
   #worth = 0;
   #requests = 0;
 
-  constructor(seed: number, outage: Outage, kind: RequestClass, waits: Policy) {
+  constructor(seed: number, outage: Outage, requestClass: RequestClass, policy: Policy) {
     this.#arrivals = uniformDraws(seed);
     this.#random = uniformDraws(seed + SIMULATIONS);
     this.#outage = outage;
-    this.#requestClass = kind;
-    this.#policy = waits;
+    this.#requestClass = requestClass;
+    this.#policy = policy;
   }
 
   /** Runs the simulation. Returns the worth that callers get, as a fraction of that of all requests, 0 to 1. */
   run(): number {
-    const { rejectsForMs, asksForMs } = this.#outage;
-    for (let at = 0; at < rejectsForMs + asksForMs + 2_000;) {
+    const { rejectionMs, requestedBackoffMs } = this.#outage;
+    for (let at = 0; at < rejectionMs + requestedBackoffMs + 2_000;) {
       at += -Math.log(1 - this.#arrivals()) / REQUESTS_PER_MS;
       this.#requests += 1;
       this.#scheduleArrival(this.#randomEntryHost(), { at, retries: 1 }, at);
@@ -104,11 +104,11 @@
       if (host === undefined) {
         break;
       }
-      if (now >= this.#outage.rejectsForMs) {
+      if (now >= this.#outage.rejectionMs) {
         this.#recordAnswer(caller, now + RUN_MS);
         return;
       }
-      ends[host] = now + this.#outage.asksForMs * (1 + 0.1 * this.#random());
+      ends[host] = now + this.#outage.requestedBackoffMs * (1 + 0.1 * this.#random());
       tried.add(host);
       now += ROUND_TRIP_MS;
     }
@@ -122,12 +122,12 @@
       this.#scheduleArrival(entryHost, caller, now + backoffMs);
     } else if (caller.retries > 0) {
       const retryAfterMs = backoffMs > 0 ? backoffMs : DEFAULT_RETRY_AFTER_MS;
-      const backAt =
+      const retryAt =
         now + ROUND_TRIP_MS + Math.min(retryAfterMs, leftMs * MAX_RETRY_DELAY_FRACTION);
       this.#scheduleArrival(
         this.#randomEntryHost(),
         { ...caller, retries: caller.retries - 1 },
-        backAt,
+        retryAt,
       );
     }
   }
@@ -149,9 +149,9 @@
   return draw;
 }
 
-function meanWorth(outage: Outage, kind: RequestClass, waits: Policy): number {
+function meanWorth(outage: Outage, requestClass: RequestClass, policy: Policy): number {
   const worths = Array.from({ length: SIMULATIONS }, (_, seed) =>
-    new OutageSimulation(seed, outage, kind, waits).run(),
+    new OutageSimulation(seed, outage, requestClass, policy).run(),
   );
   return worths.reduce((sum, worth) => sum + worth, 0) / SIMULATIONS;
 }
@@ -163,15 +163,15 @@
     { objectiveMs: 300, deadlineMs: 6_000, lateWorth: 0.4 },
     { objectiveMs: 500, deadlineMs: 8_000, lateWorth: 0.75 },
   ];
-  const outages: readonly Outage[] = [500, 2_000, 6_000].flatMap(rejectsForMs =>
-    [1_000, 3_000].map(asksForMs => ({ rejectsForMs, asksForMs })),
+  const outages: readonly Outage[] = [500, 2_000, 6_000].flatMap(rejectionMs =>
+    [1_000, 3_000].map(requestedBackoffMs => ({ rejectionMs, requestedBackoffMs })),
   );
 
   // Compared over all outages: in a single one, a request may wait for hosts that then reject it again.
-  for (const kind of requestClasses) {
-    it(`gives callers with ${kind.deadlineMs} ms at least as much as an immediate refusal`, () => {
-      const totalWorth = (waits: Policy): number =>
-        outages.reduce((sum, outage) => sum + meanWorth(outage, kind, waits), 0);
+  for (const requestClass of requestClasses) {
+    it(`gives callers with ${requestClass.deadlineMs} ms at least as much as an immediate refusal`, () => {
+      const totalWorth = (policy: Policy): number =>
+        outages.reduce((sum, outage) => sum + meanWorth(outage, requestClass, policy), 0);
       expect(totalWorth(implementedPolicy)).to.be.at.least(totalWorth(refusingAtOnce));
     }).timeout(20_000);
   }
--- a/packages/entry/src/requests/crowded-host.test.ts
+++ b/packages/entry/src/requests/crowded-host.test.ts
@@ -1,6 +1,7 @@
 /**
- * Guards against a busy host that is treated as unreachable, and its healthy group as lost. While all connections to the
- * host are in use, a request waits for one for at most the greatest connect timeout, although no connect has failed.
+ * Guards against a busy host that is treated as unreachable, and its healthy group as lost. While all connections to
+ * the host are in use, a request waits for one and gives up after the greatest connect timeout; this is no failure to
+ * connect.
  */
 import { expect } from 'chai';
 
--- a/packages/entry/src/requests/limit-notice.test.ts
+++ b/packages/entry/src/requests/limit-notice.test.ts
@@ -4,7 +4,7 @@
 import type { LimitNotice } from './limit-notice.js';
 import { readLimit } from './limit-notice.js';
 
-/** The parts of an answer, and the id of the request that was sent; undefined for orders and fetches of reports. */
+/** The parts of an answer, and the id of the request that was sent; undefined for orders and requests for reports. */
 type AnswerParts = {
   readonly statusCode?: number;
   readonly limits?: readonly string[];
--- a/packages/entry/src/requests/limit-notice.ts
+++ b/packages/entry/src/requests/limit-notice.ts
@@ -1,4 +1,6 @@
-/** Reads from an answer the rate limit of its host: the requests a second that it takes from all entry hosts together. */
+/**
+ * Reads from an answer the rate limit of its host: the requests a second that it takes from all entry hosts together.
+ */
 import type { AnswerHead } from './host-notice.js';
 import type { RelayHeaders } from './relay-headers.js';
 
@@ -19,7 +21,7 @@
 const DECIMAL_NUMBER = /^\d+(\.\d+)?(e\+?\d+)?$/i;
 const NO_LIMIT_INFORMATION: LimitNotice = { kind: 'untold' };
 
-/** Reads the rate limit that an answer names; `requestId` is undefined for orders and for fetches of reports. */
+/** Reads the rate limit that an answer names; `requestId` is undefined for orders and requests for reports. */
 export function readLimit(
   { statusCode, headers, headersDistinct }: AnswerHead,
   names: LimitHeaders,
--- a/packages/entry/src/requests/may-write.ts
+++ b/packages/entry/src/requests/may-write.ts
@@ -6,7 +6,8 @@
 
 /**
  * True if the request may be written. Up to some hundred milliseconds pass between the choice of the host and the
- * connection. Meanwhile the host may have named a rate limit, asked for a backoff, begun to shut down, or been evacuated.
+ * connection. Meanwhile the host may have named a rate limit, asked for a backoff, begun to shut down, or been
+ * evacuated.
  */
 export function mayWriteTo(
   { registry, eligibility }: Pick<RelayServices, 'registry' | 'eligibility'>,
--- a/packages/entry/src/requests/notice-listener.ts
+++ b/packages/entry/src/requests/notice-listener.ts
@@ -9,8 +9,8 @@
 type NoticeStores = Pick<RelayServices, 'notices' | 'namedLimits'>;
 
 /**
- * Stores the notices of all answers: to requests, whether the answer is used or not, to orders, and to fetches of
- * reports.
+ * Stores the notices of all answers: to requests, whether the answer is used or not, to orders, and to
+ * requests for host reports.
  */
 export function noticeListener(
   names: RelayHeaders,
--- a/packages/entry/src/requests/paced-wait.test.ts
+++ b/packages/entry/src/requests/paced-wait.test.ts
@@ -13,7 +13,7 @@
 
 describe('request that waits for a cold host', () => {
   /** Services with a cold host that can take one request per interval, the first after `nextInMs`; undefined: none. */
-  function services(pace: SendPace | undefined): RelayServices {
+  function servicesWithPace(pace: SendPace | undefined): RelayServices {
     let nextAt = monotonicMs() + (pace?.nextInMs ?? Infinity);
     const choose = ({ leavesPaced }: TargetQuery): Target | undefined => {
       if (pace === undefined || leavesPaced === true || monotonicMs() < nextAt) {
@@ -30,22 +30,22 @@
   it('is refused at once if no cold host can take it', async () => {
     const startedAt = monotonicMs();
     const until = startedAt + 5_000;
-    expect(await awaitPacedTarget(services(undefined), () => QUERY, { until, gone })).to.equal(
-      undefined,
-    );
+    expect(
+      await awaitPacedTarget(servicesWithPace(undefined), () => QUERY, { until, gone }),
+    ).to.equal(undefined);
     expect(monotonicMs() - startedAt).to.be.below(100);
   });
 
   it('is refused at once if the next turn is too late', async () => {
     const startedAt = monotonicMs();
-    const lateTurn = services({ nextInMs: 2_000, intervalMs: 1_000 });
+    const lateTurn = servicesWithPace({ nextInMs: 2_000, intervalMs: 1_000 });
     const until = startedAt + 1_000;
     expect(await awaitPacedTarget(lateTurn, () => QUERY, { until, gone })).to.equal(undefined);
     expect(monotonicMs() - startedAt).to.be.below(100);
   });
 
   it('waits if its turn comes in time; all others are refused at once', async () => {
-    const earlyTurn = services({ nextInMs: 50, intervalMs: 200 });
+    const earlyTurn = servicesWithPace({ nextInMs: 50, intervalMs: 200 });
     const until = monotonicMs() + 400;
     const waits = Array.from({ length: 6 }, () =>
       awaitPacedTarget(earlyTurn, () => QUERY, { until, gone }),
@@ -58,7 +58,7 @@
   });
 
   it('is served in the order of arrival', async () => {
-    const earlyTurn = services({ nextInMs: 40, intervalMs: 40 });
+    const earlyTurn = servicesWithPace({ nextInMs: 40, intervalMs: 40 });
     const until = monotonicMs() + 1_000;
     const served: number[] = [];
     const waits = Array.from({ length: 6 }, async (_, index) => {
@@ -71,7 +71,7 @@
 
   it('is refused soon after no cold host can take it any more', async () => {
     let pace: SendPace | undefined = { nextInMs: 500, intervalMs: 500 };
-    const base = services(undefined);
+    const base = servicesWithPace(undefined);
     const chooser = { ...base.chooser, paceOf: () => pace };
     const changingServices = { ...base, chooser } as unknown as RelayServices;
     const startedAt = monotonicMs();
@@ -88,7 +88,7 @@
 
   it('stops waiting without a send when its caller disconnects', async () => {
     const disconnection = new AbortController();
-    const earlyTurn = services({ nextInMs: 60, intervalMs: 200 });
+    const earlyTurn = servicesWithPace({ nextInMs: 60, intervalMs: 200 });
     const until = monotonicMs() + 5_000;
     const wait = awaitPacedTarget(earlyTurn, () => QUERY, { until, gone: disconnection.signal });
     disconnection.abort();
--- a/packages/entry/src/requests/paced-wait.ts
+++ b/packages/entry/src/requests/paced-wait.ts
@@ -1,6 +1,7 @@
 /**
- * Waits for a turn at a paced (rate-limited or cold) host, if only such hosts are left and their allowance is used up.
- * A request waits only if its turn, after all requests that already wait, comes in time; otherwise it is refused at once.
+ * Waits for a turn at a paced (rate-limited or cold) host, if only such hosts are left and their allowance is used
+ * up. A request waits only if its turn, after all requests that already wait, comes in time; otherwise it is refused
+ * at once.
  */
 import type { Target, TargetQuery } from '../routing/target-chooser.js';
 import { monotonicMs, sleep } from '../server/time.js';
--- a/packages/entry/src/requests/relay-headers.ts
+++ b/packages/entry/src/requests/relay-headers.ts
@@ -16,8 +16,11 @@
   readonly answerStamp: string;
   /** Present if the host has not run the request and will not run it. */
   readonly notExecuted: string;
+  /** Name of the model that the request is for. */
   readonly model: string;
+  /** Number of tokens of the prompt, and greatest number of generated ones, separated by a comma. */
   readonly tokenCounts: string;
+  /** Length hint of the caller; entry hosts forward it without reading it. */
   readonly lengthHint: string;
   /** Id of the event after which a stream is to resume. */
   readonly lastEventId: string;
--- a/packages/entry/src/requests/relay-services.ts
+++ b/packages/entry/src/requests/relay-services.ts
@@ -37,7 +37,7 @@
   readonly isUnreachable: (target: Target) => boolean;
   /** Queues of requests that wait for their turn at rate-limited or cold hosts. */
   readonly pacedWaits: PacedWaits;
-  /** Keeps requests that crash their hosts from being sent, and runs trials of them. */
+  /** Detects which requests crash the hosts that run them, and grants trials of these. */
   readonly quarantine: QuarantineGate;
   /** Decides at the moment of each send whether the host may receive the request. */
   readonly eligibility: SendEligibility;
--- a/packages/entry/src/requests/retry-after.ts
+++ b/packages/entry/src/requests/retry-after.ts
@@ -9,9 +9,9 @@
 /** `Retry-After` if the hosts were busy, in milliseconds: some of their requests will have ended by then. */
 export const RETRY_AFTER_MS = 250;
 /**
- * `Retry-After` if no host may receive the request, in milliseconds. The end of that state is not known; at the earliest
- * it is when hosts that have the model loaded have formed a group, which takes some hundred milliseconds. Callers that
- * retry sooner would be refused again; callers that retry much later would lose time.
+ * `Retry-After` if no host may receive the request, in milliseconds. The end of that state is not known; at the
+ * earliest it is when hosts that have the model loaded have formed a group, which takes some hundred milliseconds.
+ * Callers that retry sooner would be refused again; callers that retry much later would lose time.
  */
 export const RETRY_AFTER_NO_HOST_MS = 800;
 
--- a/packages/entry/src/requests/wait-for-target.ts
+++ b/packages/entry/src/requests/wait-for-target.ts
@@ -2,10 +2,10 @@
  * Decides whether a request that has no target waits for one. Pure.
  *
  * A caller whose request waits and is then refused loses time, while one that is refused at once may succeed with a
- * retry at another entry host. So a request waits only for an event that is expected in time: the formation of a group,
- * the end of a host's backoff, or a change that has not reached this entry host yet. (`paced-wait.ts` decides about
- * waiting for a turn at rate-limited and cold hosts.) A stream that has delivered events waits up to its deadline, since
- * a failure would lose them.
+ * retry at another entry host. So a request waits only for an event that is expected in time: the formation of a
+ * group, the end of a host's backoff, or a change that has not reached this entry host yet. (`paced-wait.ts` decides
+ * about waiting for a turn at rate-limited and cold hosts.) A stream that has delivered events waits up to its
+ * deadline, since a failure would lose them.
  */
 import type { Eligibility } from '../routing/eligibility.js';
 import { isPaced } from '../routing/eligibility.js';
@@ -47,7 +47,8 @@
 /**
  * Greatest fraction of the time left, 0 to 1, for which a request waits for the end of a backoff. If all hosts of a
  * service are backing off, a request that is refused with the true time is most often retried at another entry host
- * with which they have a backoff too, and fails. The rest of the time is kept in case a host extends its backoff.
+ * that they have asked for a backoff too, and fails. The rest of the time is kept in case a host asks for a backoff
+ * again.
  */
 const MAX_BACKOFF_FRACTION = 0.5;
 
@@ -94,7 +95,7 @@
   return firstApplicable ?? 'no-target';
 }
 
-// True if only rate-limited and cold hosts are left, whose allowance is used up; `paced-wait.ts` decides about that wait.
+// True if only rate-limited and cold hosts without allowance are left; `paced-wait.ts` decides about that wait.
 function hasOnlyPacedHosts(standings: readonly TargetStanding[]): boolean {
   return (
     standings.some(isPaced) &&
--- a/packages/entry/src/requests/withheld-send.test.ts
+++ b/packages/entry/src/requests/withheld-send.test.ts
@@ -47,7 +47,7 @@
   }
 
   for (const { Relay, route } of RELAYS) {
-    it(`is sent to another host as a ${route.kind} request, without a failure of the first`, async () => {
+    it(`is sent to another host, without a failure of the first (${route.kind})`, async () => {
       const services = servicesWithout(['h0']);
       const { context, answer } = requestContext('r', { ...route, maxAttempts: 1 });
       await new Relay(context, services).run();
@@ -56,7 +56,7 @@
       expect(services.activities.isAvoided('h0', monotonicMs())).to.equal(false);
     });
 
-    it(`is refused as not run as a ${route.kind} request if there is no other host`, async () => {
+    it(`is refused as not run if there is no other host (${route.kind})`, async () => {
       const services = servicesWithout(['h0', 'h1']);
       const { context, answer } = requestContext('r', route);
       await new Relay(context, services).run();
