--- a/packages/core/src/contracts/certificate.ts
+++ b/packages/core/src/contracts/certificate.ts
@@ -1,49 +1,52 @@
 /**
- * Readiness certificates: the short-lived permission to send requests to a group.
+ * Readiness certificates: short-lived permissions to send requests to a group.
  *
- * A certificate for (group, epoch) holds only while every member has answered a probe for that
- * epoch less than `lifetime` ago, counted from the moment the probe was *sent*. It lapses by
- * itself. No wall clock is compared between hosts: what crosses the wire is a remaining time,
- * and the receiver counts it from the moment it sent its question.
+ * A certificate for (group, epoch) is valid only while every member has answered a probe for that epoch within the
+ * certificate's lifetime, counted from when the probe was sent. It expires by itself. Wall clocks of hosts are never
+ * compared: a message carries the remaining time, which the receiver counts from when it sent its request.
  */
 import type { Group, GroupId } from '../groups/ledger.js';
 import type { HostId } from '../hosts/host.js';
 
-/** The last answer of a member, in the observer's monotonic milliseconds. */
+/** The last answer of a member to a probe. */
 export type MemberAnswer = {
   readonly group: GroupId;
   readonly epoch: number;
-  /** True when the member has loaded what the group serves. */
+  /** True when the member has loaded the group's model and adapters. */
   readonly loaded: boolean;
+  /** When the probe was sent, in the observer's monotonic milliseconds. */
   readonly probeSentAt: number;
 };
 
-/** A certificate as it crosses the wire. */
+/** A certificate as sent between processes. */
 export type Certificate = {
   readonly group: GroupId;
   readonly epoch: number;
-  /** Milliseconds for which the sender still vouches, at the time of its answer. */
+  /** Milliseconds of validity that remained when the sender answered. */
   readonly remainingMs: number;
 };
 
-/** Moment at which the certificate of a group lapses, or undefined when it must not be issued. */
+/**
+ * When the certificate of a group expires, in the observer's monotonic milliseconds; undefined when none may be issued
+ * because a member has not answered for the group's present epoch.
+ */
 export function certificateExpiry(
   group: Group,
   answers: ReadonlyMap<HostId, MemberAnswer>,
   lifetimeMs: number,
 ): number | undefined {
-  let oldest = Infinity;
+  let oldestProbeSentAt = Infinity;
   for (const member of group.members) {
     const answer = answers.get(member);
     if (answer === undefined || !answersFor(group, answer)) {
       return undefined;
     }
-    oldest = Math.min(oldest, answer.probeSentAt);
+    oldestProbeSentAt = Math.min(oldestProbeSentAt, answer.probeSentAt);
   }
-  return oldest + lifetimeMs;
+  return oldestProbeSentAt + lifetimeMs;
 }
 
-/** True when a member's answer counts for the group's present epoch. */
+/** True when the member has loaded the group's present epoch. */
 export function answersFor(group: Group, answer: MemberAnswer): boolean {
   return answer.loaded && answer.group === group.id && answer.epoch === group.epoch;
 }
--- a/packages/core/src/contracts/idempotency-key.ts
+++ b/packages/core/src/contracts/idempotency-key.ts
@@ -1,23 +1,23 @@
-/** Idempotency keys (UUIDv7) and the gateway that owns each of them. */
+/** Idempotency keys (UUIDv7) and the choice of the gateway that owns each key. */
 import type { FailureDomainId } from '../hosts/host.js';
 
-/** One gateway that may own keys. */
+/** A gateway that may own keys. */
 export type KeyOwner = {
   /** Name of the gateway process instance; a restarted gateway is another owner. */
   readonly instance: string;
-  /** `ip:port` where it answers other gateways. */
+  /** `ip:port` where it accepts requests of other gateways. */
   readonly address: string;
   readonly failureDomain: FailureDomainId;
 };
 
-/** Who owns keys in a failure domain. It is part of the lease object, so each renewal confirms it. */
+/** The owners of keys in a failure domain. It is part of the lease object, so each renewal confirms it. */
 export type KeyOwnerTable = {
   /** Grows with every change of owners. */
   readonly epoch: number;
-  /** Milliseconds for which an owner may rely on a confirmation; new owners wait that long. */
+  /** Milliseconds for which a confirmation is valid for an owner; new owners wait that long before they start. */
   readonly leaseMs: number;
   readonly owners: readonly KeyOwner[];
-  /** The owners before, newest first, as far back as a moved key still matters. */
+  /** Earlier sets of owners, newest first, for as long as keys of theirs may still be used. */
   readonly previous: readonly PreviousOwners[];
 };
 
@@ -25,16 +25,16 @@
 export type PreviousOwners = {
   readonly epoch: number;
   readonly instances: readonly string[];
-  /** Wall time in milliseconds at which it was replaced; compared with key times only. */
+  /** Wall clock time in milliseconds of the replacement; compared only with the creation times in keys. */
   readonly replacedAt: number;
 };
 
-/** A table without owners. */
+/** Creates a table without owners. */
 export function emptyKeyTable(leaseMs: number): KeyOwnerTable {
   return { epoch: 0, leaseMs, owners: [], previous: [] };
 }
 
-/** The table with other owners; earlier owners are kept for `memoryMs`. */
+/** Returns the table with new owners and the next epoch; earlier owners are kept for `memoryMs` milliseconds. */
 export function changeKeyOwners(
   table: KeyOwnerTable,
   owners: readonly KeyOwner[],
@@ -52,12 +52,12 @@
   return { ...table, epoch: table.epoch + 1, owners, previous };
 }
 
-/** A hash of a string to an unsigned 32-bit number. */
+/** Hashes a string to an unsigned 32-bit number. */
 export type HashFunction = (text: string) => number;
 
 const UUID_V7 = /^([0-9a-f]{8})-([0-9a-f]{4})-7[0-9a-f]{3}-[89ab][0-9a-f]{3}-[0-9a-f]{12}$/i;
 
-/** Creation time (wall ms) in a UUIDv7, or undefined when the text is not one (RFC 9562, 5.7). */
+/** Creation time of a UUIDv7 in wall clock milliseconds; undefined for any other text (RFC 9562, 5.7). */
 export function uuidV7Time(text: string): number | undefined {
   const match = UUID_V7.exec(text);
   if (match === null) {
@@ -66,7 +66,7 @@
   return Number.parseInt(match[1] + match[2], 16);
 }
 
-/** Writes a UUIDv7 for a time and ten random bytes. */
+/** Formats a UUIDv7 from a wall clock time in milliseconds and ten random bytes. */
 export function formatUuidV7(time: number, random: Uint8Array): string {
   const hex = time.toString(16).padStart(12, '0');
   const tail = Buffer.from(random).toString('hex').padEnd(20, '0');
@@ -80,7 +80,7 @@
   ].join('-');
 }
 
-/** The owner of a key by rendezvous hashing: a change of owners moves only the shares concerned. */
+/** The owner of a key by rendezvous hashing: a change of owners moves only the keys of added and removed owners. */
 export function ownerOf<T extends string>(
   key: string,
   instances: readonly T[],
--- a/packages/core/src/decision/broken-groups.ts
+++ b/packages/core/src/decision/broken-groups.ts
@@ -1,10 +1,10 @@
 /**
- * What to do with a suspended group: wait for its missing members, repair it from spares, complete
- * it by giving up a less important group, or give it up itself.
+ * Decides what to do with a suspended group: wait for its missing members, repair it with free hosts, complete it
+ * with the hosts of a less important group, or dissolve it.
  *
- * Waiting against acting is an online rent-or-buy choice. Waiting costs what the group's downtime
- * costs; acting costs the time of a load. The group waits until both are equal, which never costs
- * more than twice what hindsight would have chosen. Members that will not return end the wait.
+ * Waiting or acting is an online rent-or-buy problem: waiting costs the group's downtime, acting costs the downtime of
+ * a load. The group waits until both costs are equal, so the total is at most twice the cost of the best choice in
+ * hindsight. The wait ends early when a missing member is known not to return.
  */
 import type { Model } from '../configuration/objects.js';
 import type { Ledger } from '../groups/ledger.js';
@@ -17,72 +17,98 @@
 import type { Alternative } from './ledger-order.js';
 import type { PlacedGroup, Plan } from './plan.js';
 
-/** A suspended group with what there is to know for the choice. */
-type Broken = PlacedGroup & {
+/** A suspended group with the data that the choice depends on. */
+type SuspendedGroup = PlacedGroup & {
   readonly model: Model;
+  /** Members that do not answer or that leave. */
   readonly missing: readonly HostId[];
-  /** True when a missing member will not come back. */
-  readonly gone: boolean;
-  /** True while a missing member may be back within moments: then nothing is decided. */
+  /** True when a missing member is not expected to return, or not for long. */
+  readonly hasPermanentLoss: boolean;
+  /** True while a missing member may answer again within seconds; nothing is decided until then. */
   readonly mayReturn: boolean;
+  /** Milliseconds since the group was suspended. */
   readonly waitedMs: number;
-  /** Milliseconds of waiting after which acting is the better bet. */
+  /** Milliseconds of waiting after which the group is repaired or fenced; infinite when a policy says `wait`. */
   readonly patienceMs: number;
-  readonly giveUp: boolean;
+  /** True when the group is to be dissolved: by policy, or because its model is not declared. */
+  readonly mustDissolve: boolean;
 };
 
-/** Part of the load time for which a missing member is waited for; 1 is the rent-or-buy point. */
-const PATIENCE = 1;
+/** Wait for missing members as a multiple of the load time; at 1 waiting costs as much as a load (rent-or-buy). */
+const PATIENCE_FACTOR = 1;
 
-/** Adds orders for all suspended groups, the most valuable per needed host first. */
+/** Adds changes for all suspended groups, highest downtime cost per missing host first. */
 export function treatBroken(plan: Plan): void {
-  const broken = plan
+  const suspended = plan
     .groups()
     .filter(({ group }) => group.state === 'suspended')
     .map(placed => assess(plan, placed))
-    .sort((a, b) => urgency(plan, b) - urgency(plan, a));
-  const impatient = broken.filter(
-    entry => !entry.mayReturn && (entry.gone || entry.waitedMs >= entry.patienceMs),
+    .sort((a, b) => downtimeCostPerMissing(plan, b) - downtimeCostPerMissing(plan, a));
+  const due = suspended.filter(
+    entry => !entry.mayReturn && (entry.hasPermanentLoss || entry.waitedMs >= entry.patienceMs),
   );
-  const open: Broken[] = [];
-  for (const entry of impatient) {
-    if (entry.giveUp) {
+  const unrepaired: SuspendedGroup[] = [];
+  for (const entry of due) {
+    if (entry.mustDissolve) {
       fence(plan, entry, 'policy gives the group up');
     } else if (!repair(plan, entry)) {
-      open.push(entry);
+      unrepaired.push(entry);
     }
   }
-  if (open.length > 0) {
-    moveElsewhere(plan, open);
-    completeByMerging(plan, open);
-    completeByPreempting(plan, open);
+  if (unrepaired.length > 0) {
+    fenceIfFormableElsewhere(plan, unrepaired);
+    completeFromSuspended(plan, unrepaired);
+    completeByPreempting(plan, unrepaired);
   }
 }
 
-function assess(plan: Plan, placed: PlacedGroup): Broken {
+function assess(plan: Plan, placed: PlacedGroup): SuspendedGroup {
   const { input } = plan;
   const { ledger, group } = placed;
   const model = plan.model(group.content.model);
-  const facts = new Map(group.members.map(member => [member, input.hosts.get(member)]));
-  const missing = group.members.filter(member => isMissing(ledger, facts.get(member)));
-  const mayReturn = [...facts.values()].some(fact => isUnheard(fact) || fact?.mayReturn === true);
-  const gone = missing.some(member => isGone(ledger, facts.get(member)));
+  const observations = new Map(group.members.map(member => [member, input.hosts.get(member)]));
+  const missing = group.members.filter(member => isMissing(ledger, observations.get(member)));
+  const mayReturn = [...observations.values()].some(
+    observation => isUnheard(observation) || observation?.mayReturn === true,
+  );
+  const hasPermanentLoss = missing.some(member =>
+    isPermanentlyLost(ledger, observations.get(member)),
+  );
   const waitedMs = ageOf(input, group);
   if (model === undefined) {
-    const unwanted = { model: UNDECLARED, patienceMs: 0, giveUp: true };
-    return { ...placed, ...unwanted, missing, gone, mayReturn, waitedMs };
+    const undeclared = { model: UNDECLARED_MODEL, patienceMs: 0, mustDissolve: true };
+    return { ...placed, ...undeclared, missing, hasPermanentLoss, mayReturn, waitedMs };
   }
   const repairMs = loadMs(input, model, Math.max(1, missing.length));
-  const answer = policyAnswer(plan, placed, model, missing.length, waitedMs, repairMs);
-  const patienceMs = answer === 'wait' ? Infinity : answer === 'default' ? repairMs * PATIENCE : 0;
+  const answer = hostLossPolicyAnswer(plan, placed, model, missing.length, waitedMs, repairMs);
+  const patienceMs =
+    answer === 'wait' ? Infinity : answer === 'default' ? repairMs * PATIENCE_FACTOR : 0;
   if (missing.length === 0) {
-    return { ...placed, model, missing, gone, mayReturn, waitedMs, patienceMs: 0, giveUp: false };
+    return {
+      ...placed,
+      model,
+      missing,
+      hasPermanentLoss,
+      mayReturn,
+      waitedMs,
+      patienceMs: 0,
+      mustDissolve: false,
+    };
   }
-  const giveUp = answer === 'dissolve';
-  return { ...placed, model, missing, gone, mayReturn, waitedMs, patienceMs, giveUp };
+  const mustDissolve = answer === 'dissolve';
+  return {
+    ...placed,
+    model,
+    missing,
+    hasPermanentLoss,
+    mayReturn,
+    waitedMs,
+    patienceMs,
+    mustDissolve,
+  };
 }
 
-function policyAnswer(
+function hostLossPolicyAnswer(
   plan: Plan,
   { ledger, group }: PlacedGroup,
   model: Model,
@@ -106,20 +132,24 @@
   }).answer;
 }
 
-function isMissing(ledger: Ledger, fact: HostFact | undefined): boolean {
-  return !answers(fact) || isLeaving(ledger, fact);
+function isMissing(ledger: Ledger, observation: HostFact | undefined): boolean {
+  return !answers(observation) || isLeaving(ledger, observation);
 }
 
-// A host that flaps comes back, but not for long; waiting for it is no use.
-function isGone(ledger: Ledger, fact: HostFact | undefined): boolean {
-  return fact === undefined || isLeaving(ledger, fact) || fact.losses >= FLAPPING_LOSSES;
+// A flapping host returns only for a short time, so the group does not wait for it.
+function isPermanentlyLost(ledger: Ledger, observation: HostFact | undefined): boolean {
+  return (
+    observation === undefined ||
+    isLeaving(ledger, observation) ||
+    observation.losses >= FLAPPING_LOSSES
+  );
 }
 
-function urgency(plan: Plan, entry: Broken): number {
+function downtimeCostPerMissing(plan: Plan, entry: SuspendedGroup): number {
   return downRate(plan.input, entry.model) / Math.max(1, entry.missing.length);
 }
 
-function repair(plan: Plan, entry: Broken): boolean {
+function repair(plan: Plan, entry: SuspendedGroup): boolean {
   const { ledger, group, model, missing } = entry;
   const spares = plan.free(ledger.fabricDomain, model.upstream);
   if (spares.length < missing.length) {
@@ -128,41 +158,46 @@
   const replacements = new Map(
     missing.map((member, index): [HostId, HostId] => [member, spares[index].host.id]),
   );
-  const named = [...replacements].map(([from, to]) => `${from} by ${to}`).join(', ');
-  const wait = entry.gone ? 'a member will not return' : `waited ${seconds(entry.waitedMs)}`;
+  const replacementText = [...replacements].map(([from, to]) => `${from} by ${to}`).join(', ');
+  const wait = entry.hasPermanentLoss
+    ? 'a member will not return'
+    : `waited ${formatSeconds(entry.waitedMs)}`;
   const content = { model: group.content.model, version: model.version, adapters: model.adapters };
   const action = { kind: 'repair', replacements, content } as const;
-  const reason = missing.length === 0 ? 'loads again' : `replace ${named}: ${wait}`;
-  plan.add(ledger.fabricDomain, group.id, reason, action, waitOrRepair(plan, entry));
+  const reason = missing.length === 0 ? 'loads again' : `replace ${replacementText}: ${wait}`;
+  plan.add(ledger.fabricDomain, group.id, reason, action, waitOrRepairAlternatives(plan, entry));
   return true;
 }
 
-function waitOrRepair(plan: Plan, entry: Broken): Alternative[] {
+function waitOrRepairAlternatives(plan: Plan, entry: SuspendedGroup): Alternative[] {
   const rate = downRate(plan.input, entry.model);
   const repairCost = (rate * loadMs(plan.input, entry.model, entry.missing.length)) / 1000;
   return [
-    { name: 'wait longer', score: entry.gone ? Infinity : (rate * entry.waitedMs) / 1000 },
+    {
+      name: 'wait longer',
+      score: entry.hasPermanentLoss ? Infinity : (rate * entry.waitedMs) / 1000,
+    },
     { name: 'repair', score: repairCost },
   ];
 }
 
-// A group that can not be completed here is given up when a new one can stand elsewhere.
-function moveElsewhere(plan: Plan, open: readonly Broken[]): void {
-  for (const entry of open) {
+// Fences groups that cannot be repaired where a new replica can be formed from free hosts.
+function fenceIfFormableElsewhere(plan: Plan, unrepaired: readonly SuspendedGroup[]): void {
+  for (const entry of unrepaired) {
     if (canForm(plan, entry.model)) {
       fence(plan, entry, 'a new replica can be formed elsewhere');
     }
   }
 }
 
-// Of two groups that can not be completed alone, the one worth more is completed from the other.
-function completeByMerging(plan: Plan, open: readonly Broken[]): void {
-  const donors = new Set<string>(givenUp(plan));
-  for (const entry of open) {
+// Fences the less valuable of two suspended groups when its hosts complete the more valuable one.
+function completeFromSuspended(plan: Plan, unrepaired: readonly SuspendedGroup[]): void {
+  const donors = new Set<string>(idsBeingFenced(plan));
+  for (const entry of unrepaired) {
     if (donors.has(entry.group.id)) {
       continue;
     }
-    const donor = [...open]
+    const donor = [...unrepaired]
       .reverse()
       .find(
         other =>
@@ -170,7 +205,7 @@
           !donors.has(other.group.id) &&
           other.ledger.fabricDomain === entry.ledger.fabricDomain &&
           other.model.upstream === entry.model.upstream &&
-          spareCount(plan, entry) + survivors(other) >= entry.missing.length,
+          spareCount(plan, entry) + survivorCount(other) >= entry.missing.length,
       );
     if (donor !== undefined) {
       donors.add(donor.group.id);
@@ -180,19 +215,20 @@
   }
 }
 
-function completeByPreempting(plan: Plan, open: readonly Broken[]): void {
-  const done = givenUp(plan);
-  for (const entry of open) {
-    if (done.includes(entry.group.id)) {
+// Drains a ready group when its hosts complete a more valuable suspended group.
+function completeByPreempting(plan: Plan, unrepaired: readonly SuspendedGroup[]): void {
+  const fencedIds = idsBeingFenced(plan);
+  for (const entry of unrepaired) {
+    if (fencedIds.includes(entry.group.id)) {
       continue;
     }
     const victim = plan
       .groups()
-      .filter(other => mayYield(plan, entry, other))
+      .filter(other => isPreemptable(plan, entry, other))
       .map(other => ({ other, gain: preemptionGain(plan, entry, other) }))
       .filter(({ gain }) => gain > 0 && paysOff(plan, entry, gain))
       .sort((a, b) => b.gain - a.gain)[0];
-    const alreadyHelped = plan.orders.some(order => order.reason.includes(entry.group.id));
+    const alreadyHelped = plan.orders.some(change => change.reason.includes(entry.group.id));
     if (victim !== undefined && !alreadyHelped) {
       const { ledger, group } = victim.other;
       const reason = `its hosts complete ${entry.group.id}, which is more important`;
@@ -200,21 +236,21 @@
         { name: 'leave as it is', score: 0 },
         { name: 'preempt', score: -victim.gain },
       ];
-      plan.add(ledger.fabricDomain, group.id, reason, DRAIN, alternatives);
+      plan.add(ledger.fabricDomain, group.id, reason, DRAIN_ACTION, alternatives);
     }
   }
 }
 
-// Groups that this plan has already decided to give up.
-function givenUp(plan: Plan): string[] {
+// Ids of the groups that this plan already moves to `fencing`.
+function idsBeingFenced(plan: Plan): string[] {
   return plan.orders
-    .filter(order => order.kind === 'move' && order.state === 'fencing')
-    .map(order => order.group);
+    .filter(change => change.kind === 'move' && change.state === 'fencing')
+    .map(change => change.group);
 }
 
-const DRAIN = { kind: 'move', state: 'draining' } as const;
+const DRAIN_ACTION = { kind: 'move', state: 'draining' } as const;
 
-function mayYield(plan: Plan, entry: Broken, other: PlacedGroup): boolean {
+function isPreemptable(plan: Plan, entry: SuspendedGroup, other: PlacedGroup): boolean {
   const draining = other.ledger.groups.some(group => group.state === 'draining');
   return (
     !draining &&
@@ -225,12 +261,12 @@
   );
 }
 
-/** Cost per second saved once the more important group runs on the other's hosts. */
-function preemptionGain(plan: Plan, entry: Broken, other: PlacedGroup): number {
+// Cost per second that is saved once the suspended group runs on hosts of the other group.
+function preemptionGain(plan: Plan, entry: SuspendedGroup, other: PlacedGroup): number {
   const { input } = plan;
   const otherModel = plan.model(other.group.content.model);
   const lost = otherModel === undefined ? 0 : downRate(input, otherModel);
-  const idleBefore = strandedRate(input, entry.group, survivors(entry));
+  const idleBefore = strandedRate(input, entry.group, survivorCount(entry));
   const idleAfter = strandedRate(
     input,
     other.group,
@@ -239,33 +275,33 @@
   return downRate(input, entry.model) - lost + idleBefore - idleAfter;
 }
 
-// The gain must have had time to outgrow the downtime that the change itself costs.
-function paysOff(plan: Plan, entry: Broken, gain: number): boolean {
+// Preemption starts once the gain over the time waited so far covers the downtime that the load itself costs.
+function paysOff(plan: Plan, entry: SuspendedGroup, gain: number): boolean {
   const cost =
     (loadMs(plan.input, entry.model, entry.missing.length) / 1000) *
     downRate(plan.input, entry.model);
   return (entry.waitedMs / 1000) * gain >= cost;
 }
 
-function survivors(entry: Broken): number {
+function survivorCount(entry: SuspendedGroup): number {
   return entry.group.members.length - entry.missing.length;
 }
 
-function spareCount(plan: Plan, entry: Broken): number {
+function spareCount(plan: Plan, entry: SuspendedGroup): number {
   return plan.free(entry.ledger.fabricDomain, entry.model.upstream).length;
 }
 
-function fence(plan: Plan, entry: Broken, reason: string): void {
+function fence(plan: Plan, entry: SuspendedGroup, reason: string): void {
   const { ledger, group } = entry;
   plan.add(ledger.fabricDomain, group.id, reason, { kind: 'move', state: 'fencing' });
 }
 
-function seconds(ms: number): string {
+function formatSeconds(ms: number): string {
   return `${(ms / 1000).toFixed(1)} s`;
 }
 
-/** Stands for a model that is not declared any more; its groups are given up. */
-const UNDECLARED: Model = {
+/** Placeholder for a model that is no longer declared; groups of such a model are dissolved. */
+const UNDECLARED_MODEL: Model = {
   version: '',
   hosts: 1,
   replicas: 0,
--- a/packages/core/src/decision/decide.ts
+++ b/packages/core/src/decision/decide.ts
@@ -1,4 +1,4 @@
-/** The group decision: a pure function from facts and wishes to orders with reasons. */
+/** The group decision: a pure function from observed hosts, ledgers and configuration to ledger changes. */
 import { treatBroken } from './broken-groups.js';
 import type { DecisionInput } from './decision-input.js';
 import { displaceForMissing } from './displacement.js';
@@ -7,7 +7,7 @@
 import type { LedgerOrder } from './ledger-order.js';
 import { Plan } from './plan.js';
 
-/** Orders for all ledgers of a failure domain, each legal after those before it. */
+/** Changes to all ledgers of a failure domain; each one is legal after those before it have been applied. */
 export function decide(input: DecisionInput): LedgerOrder[] {
   const plan = new Plan(input);
   drainLeaving(plan);
--- a/packages/core/src/decision/decision-input.ts
+++ b/packages/core/src/decision/decision-input.ts
@@ -1,45 +1,45 @@
-/** What the group decision sees: facts about hosts, ledgers and wishes, and nothing else. */
+/** The complete input of the group decision (observed hosts, ledgers, configuration) and functions that read it. */
 import type { Configuration, Model } from '../configuration/objects.js';
 import type { Group, GroupContent, GroupState, Ledger } from '../groups/ledger.js';
 import type { FailureDomainId, Host, HostId } from '../hosts/host.js';
 import type { HostStateReport } from '../hosts/host-protocol.js';
 
-/** What is known of a host at the time of a decision. */
+/** Observed state of a host at the time of a decision. */
 export type HostFact = {
   readonly host: Host;
-  /** Last answer, or undefined when it never answered this observer. */
+  /** Last reported state; undefined when the host has never answered this observer. */
   readonly report: HostStateReport | undefined;
-  /** Milliseconds since the probe was sent that the last answer belongs to: what it says is as old. */
+  /** Age of the report in milliseconds, counted from when its probe was sent. */
   readonly answerAgeMs: number;
-  /** Milliseconds since it last answered; 0 while it answers. */
+  /** Milliseconds since the host last answered; 0 while it answers. */
   readonly silentMs: number;
   /**
-   * True when it is silent although it could have answered: the observer ran and heard other hosts. A silence of all
-   * hosts at once says more of the observer or the network than of any host.
+   * True when the host does not answer while the observer runs and receives answers of other hosts. When all hosts
+   * are silent at once, the observer or the network is the more likely cause.
    */
   readonly isMissing: boolean;
-  /** True while it is silent and may answer within moments, since its fabric domain or the observer is just back. */
+  /** True while the host is silent but may answer within seconds: its fabric domain or the observer just returned. */
   readonly mayReturn: boolean;
-  /** Times it fell silent or restarted within the memory of the observer; damps flapping. */
+  /** How often the host fell silent or restarted within the observer's memory; used to detect flapping. */
   readonly losses: number;
 };
 
-/** A group of another failure domain, as far as it is known. */
+/** Last known state of a group of another failure domain. */
 export type RemoteGroup = {
   readonly failureDomain: FailureDomainId;
   readonly content: GroupContent;
   readonly state: GroupState;
 };
 
-/** Times that the contracts demand. */
+/** Times that certificates and drains prescribe, in milliseconds. */
 export type ContractTimes = {
-  /** Lifetime of certificates; fenced groups wait that long before their hosts are free. */
+  /** Lifetime of readiness certificates; a fencing group keeps its hosts at least that long. */
   readonly certificateMs: number;
-  /** Longest time a draining group may finish its work. */
+  /** Longest time for which a draining group may finish its work. */
   readonly drainMs: number;
 };
 
-/** How long each group has been in its state, as far as the observer saw it, by `ageKey`. */
+/** Milliseconds for which the observer has seen each group in its present state, by `ageKey`. */
 export type GroupAges = ReadonlyMap<string, number>;
 
 /** Input of the decision for one failure domain. */
@@ -50,59 +50,61 @@
   readonly ledgers: readonly Ledger[];
   readonly ages: GroupAges;
   readonly times: ContractTimes;
-  /** Groups of other failure domains. */
+  /** Last known groups of other failure domains. */
   readonly remote: readonly RemoteGroup[];
-  /** Failure domains that have not been heard for long; the others take over their replicas. */
+  /** Failure domains without any report for a long time; the others take over their replicas. */
   readonly absent: readonly FailureDomainId[];
 };
 
-/** Losses within the memory of the observer that make a host count as flapping. */
+/** Losses within the observer's memory from which a host counts as flapping. */
 export const FLAPPING_LOSSES = 3;
 
-/** Key under which the age of a group's present state is kept. */
+/** Key of a group's present state in `GroupAges`. */
 export function ageKey(group: Group): string {
   return `${group.id}/${group.epoch}/${group.state}`;
 }
 
-/** Milliseconds for which a group has been in its state. */
+/** Milliseconds for which a group has been in its present state; 0 when unknown. */
 export function ageOf(input: DecisionInput, group: Group): number {
   return input.ages.get(ageKey(group)) ?? 0;
 }
 
-/** True when a host answers now. */
-export function answers(fact: HostFact | undefined): fact is HostFact {
-  return fact !== undefined && fact.report !== undefined && fact.silentMs === 0;
+/** True when a host answered the last probe. */
+export function answers(observation: HostFact | undefined): observation is HostFact {
+  return (
+    observation !== undefined && observation.report !== undefined && observation.silentMs === 0
+  );
 }
 
-/** True when a host neither answers nor is known to be missing, so that nothing may be concluded about it. */
-export function isUnheard(fact: HostFact | undefined): boolean {
-  return fact !== undefined && !fact.isMissing && !answers(fact);
+/** True when a host neither answers nor is known to be missing: its state is unknown, nothing may be decided on it. */
+export function isUnheard(observation: HostFact | undefined): boolean {
+  return observation !== undefined && !observation.isMissing && !answers(observation);
 }
 
-/** True when a member answers for its group's present epoch with everything loaded. */
-export function memberIsLoaded(group: Group, fact: HostFact | undefined): boolean {
+/** True when a member answers and reports that it has loaded its group's present epoch. */
+export function memberIsLoaded(group: Group, observation: HostFact | undefined): boolean {
   return (
-    answers(fact) &&
-    fact.report?.group === group.id &&
-    fact.report.epoch === group.epoch &&
-    fact.report.loaded
+    answers(observation) &&
+    observation.report?.group === group.id &&
+    observation.report.epoch === group.epoch &&
+    observation.report.loaded
   );
 }
 
 /** True when the platform reclaims a host or an operator drains it. */
-export function isLeaving(ledger: Ledger, fact: HostFact): boolean {
-  return fact.host.state === 'leaving' || ledger.cordoned.includes(fact.host.id);
+export function isLeaving(ledger: Ledger, observation: HostFact): boolean {
+  return observation.host.state === 'leaving' || ledger.cordoned.includes(observation.host.id);
 }
 
-/** Failure domains that hold replicas of a model, in the order of the configuration. */
+/** Failure domains that may hold replicas of a model, in the order of the configuration. */
 export function domainsOf(configuration: Configuration, model: Model): readonly FailureDomainId[] {
   const named = model['failure-domains'];
   return named.length > 0 ? named : configuration.deployment['failure-domains'];
 }
 
 /**
- * Replicas of a model that a failure domain should hold: an even split over the domains that are
- * there, the rest to the first ones.
+ * Number of replicas of a model that a failure domain should hold: an even split over the domains that are not
+ * absent; the first ones hold the remainder.
  */
 export function wantedReplicas(input: DecisionInput, model: Model): number {
   const { configuration, failureDomain, absent } = input;
@@ -115,15 +117,17 @@
   return base + (index < model.replicas % present.length ? 1 : 0);
 }
 
-/** True when a group has the declared version of its model, but not the declared adapters. */
+/** True when a group has the declared version of its model but not the declared adapters. */
 export function hasOutdatedAdapters(input: DecisionInput, group: Group): boolean {
   const model = input.configuration.models.get(group.content.model);
   const { version, adapters } = group.content;
   return model?.version === version && model.adapters.join() !== adapters.join();
 }
 
-/** Accelerators of a host of a group, taken as alike within a fabric domain. */
+/** Accelerators per host of a group; all hosts of a fabric domain are assumed to have the same number. */
 export function acceleratorsOf(input: DecisionInput, group: Group): number {
-  const first = group.members.map(member => input.hosts.get(member)).find(fact => fact);
-  return first?.host.accelerators ?? 0;
+  const firstKnown = group.members
+    .map(member => input.hosts.get(member))
+    .find(observation => observation);
+  return firstKnown?.host.accelerators ?? 0;
 }
--- a/packages/core/src/decision/displacement.ts
+++ b/packages/core/src/decision/displacement.ts
@@ -1,6 +1,6 @@
 /**
- * Makes room for a wanted replica that fits nowhere, although enough hosts are free or held by less
- * valuable groups: free hosts that are scattered over fabric domains help nobody.
+ * Makes room for a wanted replica that fits in no fabric domain although enough hosts are free or used by less
+ * valuable groups. A group cannot use free hosts that are scattered over several fabric domains.
  */
 import type { Model } from '../configuration/objects.js';
 import type { FabricDomainId } from '../hosts/host.js';
@@ -8,24 +8,24 @@
 import { wantedReplicas } from './decision-input.js';
 import type { PlacedGroup, Plan } from './plan.js';
 
-/** Groups of one fabric domain that make room for a replica, and what that saves. */
+/** Groups of one fabric domain that are drained to make room for a replica, and the cost that this saves. */
 export type Displacement = {
   readonly fabricDomain: FabricDomainId;
   readonly victims: readonly PlacedGroup[];
-  /** Cost saved until the horizon, less the cost of the change. */
+  /** Cost saved within `HORIZON_S`, minus the cost of the change. */
   readonly gain: number;
 };
 
-/** Time over which a change must pay for itself; hosts come back after minutes to hours. */
+/** Seconds within which a change must pay for itself; lost hosts return after minutes to hours. */
 const HORIZON_S = 900;
-/** Part of a replica's value that a change must save, so that near-ties change nothing. */
-const MIN_GAIN = 0.1;
-/** Time that a displaced group takes to drain. */
-const DRAIN_S = 20;
+/** Least part of a replica's value (0 to 1) that a change must save, so that near-ties change nothing. */
+const MIN_GAIN_PART = 0.1;
+/** Estimated seconds that a displaced group takes to drain. */
+const DRAIN_ESTIMATE_S = 20;
 
-/** Displaces groups for the most valuable replica that is missing, one change at a time. */
+/** Displaces groups for the most valuable missing replica; makes at most one displacement per decision. */
 export function displaceForMissing(plan: Plan): void {
-  if (isChanging(plan)) {
+  if (isFreeingHosts(plan)) {
     return;
   }
   const models = [...plan.input.configuration.models].sort(
@@ -43,17 +43,18 @@
   }
 }
 
-/** The displacement that saves most for a replica of a model; undefined when none pays. */
+/** The displacement that saves the most for a replica of a model; undefined when none saves enough. */
 export function findDisplacement(plan: Plan, model: Model): Displacement | undefined {
   return plan
     .ledgers()
-    .map(({ fabricDomain }) => cheapestIn(plan, fabricDomain, model))
+    .map(({ fabricDomain }) => cheapestDisplacement(plan, fabricDomain, model))
     .filter(found => found !== undefined)
-    .filter(found => found.gain > MIN_GAIN * downRate(plan.input, model) * HORIZON_S)
+    .filter(found => found.gain > MIN_GAIN_PART * downRate(plan.input, model) * HORIZON_S)
     .sort((a, b) => b.gain - a.gain)[0];
 }
 
-function cheapestIn(
+// Collects the least valuable ready groups of a fabric domain until the replica fits; undefined when it never does.
+function cheapestDisplacement(
   plan: Plan,
   fabricDomain: FabricDomainId,
   model: Model,
@@ -63,7 +64,7 @@
     .ledger(fabricDomain)
     .groups.filter(group => group.state === 'ready')
     .map(group => ({ ledger: plan.ledger(fabricDomain), group }))
-    .sort((a, b) => valueOf(plan, a) - valueOf(plan, b));
+    .sort((a, b) => valueOfGroup(plan, a) - valueOfGroup(plan, b));
   const victims: PlacedGroup[] = [];
   let hosts = free;
   for (const candidate of candidates) {
@@ -76,36 +77,38 @@
   if (hosts < model.hosts || victims.length === 0) {
     return undefined;
   }
-  const gain = downRate(plan.input, model) * HORIZON_S - lossOf(plan, fabricDomain, model, victims);
+  const gain =
+    downRate(plan.input, model) * HORIZON_S -
+    downtimeCostOfVictims(plan, fabricDomain, model, victims);
   return { fabricDomain, victims, gain };
 }
 
-// A victim that fits elsewhere is down for a move; one that does not is down for the horizon.
-function lossOf(
+// Downtime cost of the victims: one that fits elsewhere is down while it moves, any other one for the whole horizon.
+function downtimeCostOfVictims(
   plan: Plan,
   fabricDomain: FabricDomainId,
   model: Model,
   victims: readonly PlacedGroup[],
 ): number {
-  const room = roomAfter(plan, fabricDomain, model, victims);
-  let loss = 0;
+  const freeHosts = freeHostsAfter(plan, fabricDomain, model, victims);
+  let cost = 0;
   for (const { group } of victims) {
-    const own = plan.model(group.content.model);
-    if (own === undefined) {
+    const victimModel = plan.model(group.content.model);
+    if (victimModel === undefined) {
       continue;
     }
-    const place = room.findIndex(hosts => hosts >= own.hosts);
-    const moveS = DRAIN_S + loadMs(plan.input, own, own.hosts) / 1000;
-    loss += downRate(plan.input, own) * (place < 0 ? HORIZON_S : moveS);
-    if (place >= 0) {
-      room[place] -= own.hosts;
+    const fabricIndex = freeHosts.findIndex(hosts => hosts >= victimModel.hosts);
+    const moveS = DRAIN_ESTIMATE_S + loadMs(plan.input, victimModel, victimModel.hosts) / 1000;
+    cost += downRate(plan.input, victimModel) * (fabricIndex < 0 ? HORIZON_S : moveS);
+    if (fabricIndex >= 0) {
+      freeHosts[fabricIndex] -= victimModel.hosts;
     }
   }
-  return loss;
+  return cost;
 }
 
-// Free hosts of each fabric domain once the new replica stands.
-function roomAfter(
+// Free hosts of each fabric domain once the new replica has been formed.
+function freeHostsAfter(
   plan: Plan,
   fabricDomain: FabricDomainId,
   model: Model,
@@ -118,13 +121,13 @@
   });
 }
 
-function valueOf(plan: Plan, { group }: PlacedGroup): number {
+function valueOfGroup(plan: Plan, { group }: PlacedGroup): number {
   const model = plan.model(group.content.model);
   return model === undefined ? 0 : valuePerHost(plan.input, model);
 }
 
-// Hosts that are about to be free may make the change unnecessary.
-function isChanging(plan: Plan): boolean {
+// While groups drain or are fenced, hosts are about to become free, which may make a displacement unnecessary.
+function isFreeingHosts(plan: Plan): boolean {
   return plan.groups().some(({ group }) => group.state === 'draining' || group.state === 'fencing');
 }
 
--- a/packages/core/src/decision/drains.ts
+++ b/packages/core/src/decision/drains.ts
@@ -1,4 +1,4 @@
-/** Which groups finish their work and end: reclaimed hosts, excess replicas, old versions. */
+/** Drains groups with leaving hosts, excess replicas and outdated versions, and ends drained groups. */
 import type { Model } from '../configuration/objects.js';
 import type { Group } from '../groups/ledger.js';
 import type { FailureDomainId, HostId } from '../hosts/host.js';
@@ -16,14 +16,14 @@
 import type { PlacedGroup, Plan } from './plan.js';
 
 /**
- * Drains groups with a member that leaves; their replacement is formed in the same plan. The last group of a model that
- * serves is drained for an operator only once its replacement is ready.
+ * Drains groups with a leaving member; their replacement is formed in the same plan. When an operator drains a host of
+ * the last group that serves a model, that group is drained only once its replacement is ready.
  */
 export function drainLeaving(plan: Plan): void {
   for (const { ledger, group } of plan.groups()) {
     const leaving = group.members.filter(member => {
-      const fact = plan.input.hosts.get(member);
-      return fact !== undefined && isLeaving(ledger, fact);
+      const observation = plan.input.hosts.get(member);
+      return observation !== undefined && isLeaving(ledger, observation);
     });
     if (
       leaving.length > 0 &&
@@ -35,14 +35,14 @@
   }
 }
 
-/** Drains replicas beyond the wanted number, and those of models that are not declared. */
+/** Drains replicas beyond the wanted number, and all replicas of models that are not declared. */
 export function drainExcess(plan: Plan): void {
   const names = new Set(plan.groups().map(({ group }) => group.content.model));
   for (const name of names) {
     const model = plan.model(name);
     const wanted = model === undefined ? 0 : wantedReplicas(plan.input, model);
     for (let excess = plan.held(name) - wanted; excess > 0; excess--) {
-      const victim = leastUseful(plan, name);
+      const victim = leastUsefulReplica(plan, name);
       if (victim === undefined) {
         break;
       }
@@ -51,53 +51,57 @@
   }
 }
 
-/** Ends drained groups: repaired with the same hosts where that helps, else fenced. */
+/** Ends drained groups: suspends those that are to be repaired and keep their remaining hosts, fences the others. */
 export function endDrained(plan: Plan): void {
   for (const { ledger, group } of plan.groups()) {
     if (group.state !== 'draining' || !isDrained(plan.input, group)) {
       continue;
     }
-    const repairable = mayRepair(plan, { ledger, group });
+    const willRepair = isRepairable(plan, { ledger, group });
     const running = plan.input.hosts.get(group.members[0])?.report?.running ?? 0;
-    const why = running === 0 ? 'drained' : `drain time is over with ${running} running`;
-    const state = repairable ? 'suspended' : 'fencing';
-    plan.add(ledger.fabricDomain, group.id, why, { kind: 'move', state });
+    const reason = running === 0 ? 'drained' : `drain time is over with ${running} running`;
+    const state = willRepair ? 'suspended' : 'fencing';
+    plan.add(ledger.fabricDomain, group.id, reason, { kind: 'move', state });
   }
 }
 
 /**
- * Moves one replica at a time to the declared version and adapters: a new one is formed first
- * where hosts are free; else one is drained while others of its model serve.
+ * Moves one replica at a time to the declared version and adapters. A new version is formed on free hosts first;
+ * otherwise one replica is drained while others of its model serve.
  */
 export function rollVersions(plan: Plan): void {
   for (const [name, model] of plan.input.configuration.models) {
-    const old = plan
+    const outdated = plan
       .groups()
       .filter(({ group }) => group.content.model === name && !isCurrent(group, model));
-    const serving = old.filter(({ group }) => group.state === 'ready');
-    if (serving.length === 0 || rolling(plan, name, model) || !isTurn(plan.input, name, model)) {
+    const serving = outdated.filter(({ group }) => group.state === 'ready');
+    if (
+      serving.length === 0 ||
+      isChanging(plan, name, model) ||
+      !isTurnOfDomain(plan.input, name, model)
+    ) {
       continue;
     }
     const versionChanges = serving[0].group.content.version !== model.version;
     if (versionChanges && canForm(plan, model)) {
       formOne(plan, name, model);
-    } else if (othersServe(plan, name)) {
+    } else if (hasOtherReadyReplica(plan, name)) {
       drain(plan, serving[0], `moves to version ${model.version}`);
     }
   }
 }
 
-/** True when a draining group has no work left and no gateway may send it more. */
+/** True when a draining group runs no requests and no gateway may send it more, or its drain time has expired. */
 export function isDrained(input: DecisionInput, group: Group): boolean {
   const age = ageOf(input, group);
-  const leader = input.hosts.get(group.members[0]);
-  if (isUnheard(leader)) {
+  const head = input.hosts.get(group.members[0]);
+  if (isUnheard(head)) {
     return age >= input.times.drainMs;
   }
-  const running = memberIsLoaded(group, leader) ? (leader?.report?.running ?? 0) : 0;
-  // Gateways may send work until their certificates of before the drain have lapsed; only an answer to a probe that was
-  // sent after that tells of all of it.
-  const ageAtAnswer = age - (leader?.answerAgeMs ?? 0);
+  const running = memberIsLoaded(group, head) ? (head?.report?.running ?? 0) : 0;
+  // Gateways may send requests until their certificates from before the drain have expired. Only a report whose probe
+  // was sent after that counts all of these requests.
+  const ageAtAnswer = age - (head?.answerAgeMs ?? 0);
   return (ageAtAnswer >= input.times.certificateMs && running === 0) || age >= input.times.drainMs;
 }
 
@@ -106,23 +110,23 @@
   return version === model.version && adapters.join() === model.adapters.join();
 }
 
-// A change is under way while any replica of the model is not settled.
-function rolling(plan: Plan, name: string, model: Model): boolean {
+// A version change is in progress while a replica of the model is not ready or exceeds the wanted number.
+function isChanging(plan: Plan, name: string, model: Model): boolean {
   const groups = plan.groups().filter(({ group }) => group.content.model === name);
   const unsettled = groups.some(({ group }) => group.state !== 'ready');
   return unsettled || plan.held(name) > wantedReplicas(plan.input, model);
 }
 
-// Failure domains change one after the other, in the order of the configuration.
-function isTurn(input: DecisionInput, name: string, model: Model): boolean {
+// Failure domains change version one after the other, in the order of the configuration.
+function isTurnOfDomain(input: DecisionInput, name: string, model: Model): boolean {
   const domains = domainsOf(input.configuration, model);
   const before = domains.slice(0, domains.indexOf(input.failureDomain));
   return before.every(
-    domain => input.absent.includes(domain) || hasMoved(input, domain, name, model),
+    domain => input.absent.includes(domain) || hasDeclaredVersion(input, domain, name, model),
   );
 }
 
-function hasMoved(
+function hasDeclaredVersion(
   input: DecisionInput,
   domain: FailureDomainId,
   name: string,
@@ -136,7 +140,7 @@
   );
 }
 
-function othersServe(plan: Plan, name: string): boolean {
+function hasOtherReadyReplica(plan: Plan, name: string): boolean {
   const here = plan
     .groups()
     .filter(({ group }) => group.content.model === name && group.state === 'ready').length;
@@ -146,23 +150,24 @@
   return here + elsewhere > 1;
 }
 
+// A group whose host the platform reclaims is drained at once; one that only an operator drains may wait.
 function mayWaitForReplacement(plan: Plan, group: Group, leaving: readonly HostId[]): boolean {
   const isReclaimed = leaving.some(
     member => plan.input.hosts.get(member)?.host.state === 'leaving',
   );
   const mayWait = group.state === 'ready' && !isReclaimed;
-  return mayWait && isLastServing(plan, group) && replacementComes(plan, group);
+  return mayWait && isLastServingGroup(plan, group) && replacementIsExpected(plan, group);
 }
 
-// No other group of the model serves that is to stay.
-function isLastServing(plan: Plan, { id, content }: Group): boolean {
+// True when no other ready group of the model will keep serving.
+function isLastServingGroup(plan: Plan, { id, content }: Group): boolean {
   const others = plan.groups().filter(({ ledger, group }) => {
     const isOther = group.id !== id && group.content.model === content.model;
-    const isToStay = !group.members.some(member => {
-      const fact = plan.input.hosts.get(member);
-      return fact === undefined || isLeaving(ledger, fact);
+    const staysInService = !group.members.some(member => {
+      const observation = plan.input.hosts.get(member);
+      return observation === undefined || isLeaving(ledger, observation);
     });
-    return isOther && group.state === 'ready' && isToStay;
+    return isOther && group.state === 'ready' && staysInService;
   });
   const elsewhere = plan.input.remote.filter(
     group => group.content.model === content.model && group.state === 'ready',
@@ -170,8 +175,8 @@
   return others.length + elsewhere.length === 0;
 }
 
-// A load that takes longer than a drain may is not waited for.
-function replacementComes(plan: Plan, { content }: Group): boolean {
+// True when a replacement is loading or can be formed. A load that already takes longer than `drainMs` does not count.
+function replacementIsExpected(plan: Plan, { content }: Group): boolean {
   const { input } = plan;
   const model = plan.model(content.model);
   if (model === undefined) {
@@ -186,13 +191,13 @@
         ageOf(input, group) < input.times.drainMs,
     );
   const isWanted = plan.held(content.model) < wantedReplicas(input, model);
-  // Of hosts that are not heard for the moment it is not known whether they are free.
-  const mayBeFree = [...input.hosts.values()].some(fact => isUnheard(fact));
+  // Hosts whose state is unknown may turn out to be free.
+  const mayBeFree = [...input.hosts.values()].some(observation => isUnheard(observation));
   return isLoading || (isWanted && (mayBeFree || canForm(plan, model)));
 }
 
-// Suspended ones first, then old versions, then the youngest, which has the least in its cache.
-function leastUseful(plan: Plan, name: string): PlacedGroup | undefined {
+// Prefers suspended groups, then outdated versions, then the newest group, whose cache holds the least.
+function leastUsefulReplica(plan: Plan, name: string): PlacedGroup | undefined {
   const model = plan.model(name);
   const rank = ({ group }: PlacedGroup): number =>
     (group.state === 'suspended' ? 2 : 0) +
@@ -211,8 +216,8 @@
   plan.add(ledger.fabricDomain, group.id, reason, { kind: 'move', state });
 }
 
-// Survivors keep their weights when the group is repaired, so that only the new host loads.
-function mayRepair(plan: Plan, { ledger, group }: PlacedGroup): boolean {
+// In a repair the remaining members keep their weights, so that only the new hosts load.
+function isRepairable(plan: Plan, { ledger, group }: PlacedGroup): boolean {
   const model = plan.model(group.content.model);
   if (model === undefined || group.content.version !== model.version) {
     return false;
@@ -221,10 +226,10 @@
     return false;
   }
   const leaving = group.members.filter(member => {
-    const fact = plan.input.hosts.get(member);
-    return fact === undefined || isLeaving(ledger, fact);
+    const observation = plan.input.hosts.get(member);
+    return observation === undefined || isLeaving(ledger, observation);
   });
-  // A group that drains for another reason, such as to make room, must not come back in its place.
+  // A group that drains for another reason, such as to make room, must not be repaired on the same hosts.
   const wantsRepair = leaving.length > 0 || hasOutdatedAdapters(plan.input, group);
   return wantsRepair && plan.free(ledger.fabricDomain, model.upstream).length >= leaving.length;
 }
--- a/packages/core/src/decision/formation.ts
+++ b/packages/core/src/decision/formation.ts
@@ -1,4 +1,4 @@
-/** Which fabric domain and hosts form a wanted replica that is missing. */
+/** Chooses the fabric domain and hosts for a wanted replica that is missing. */
 import type { Model } from '../configuration/objects.js';
 import type { Ledger } from '../groups/ledger.js';
 import type { FabricDomainId } from '../hosts/host.js';
@@ -7,12 +7,13 @@
 import type { Alternative } from './ledger-order.js';
 import type { Plan } from './plan.js';
 
+// A fabric domain with enough free hosts for one replica.
 type Candidate = { readonly fabricDomain: FabricDomainId; readonly free: number };
 
 /**
- * Forms missing replicas as far as free hosts go: the most valuable per host first, of equal ones
- * the larger, which finds room less easily. Hosts that a more valuable replica waits for are not
- * taken by a lesser one.
+ * Forms missing replicas while free hosts last: the most valuable per host first; of equally valuable ones the larger
+ * first, since fewer fabric domains have room for it. A less valuable replica does not get hosts in a fabric domain
+ * where a more valuable one waits for room.
  */
 export function formMissing(plan: Plan): void {
   const models = [...plan.input.configuration.models].sort(
@@ -23,7 +24,7 @@
   for (const [name, model] of models) {
     const wanted = wantedReplicas(plan.input, model);
     while (plan.held(name) < wanted && formOne(plan, name, model, reserved)) {
-      // Each turn adds one group to the plan.
+      // Each iteration adds one group to the plan.
     }
     if (plan.held(name) < wanted) {
       reserveRoom(plan, model, reserved);
@@ -31,7 +32,7 @@
   }
 }
 
-// Fabric domains in which enough hosts for the replica are free or about to be.
+// Reserves fabric domains in which enough hosts for the replica are free or about to become free.
 function reserveRoom(plan: Plan, model: Model, reserved: Set<FabricDomainId>): void {
   for (const ledger of plan.ledgers()) {
     const pending = ledger.groups
@@ -49,7 +50,7 @@
   return candidatesFor(plan, model).length > 0;
 }
 
-/** Forms one replica where the fewest hosts are left without use; false when none fits. */
+/** Forms one replica where the fewest hosts remain that make no whole group; false when it fits nowhere. */
 export function formOne(
   plan: Plan,
   name: string,
@@ -67,7 +68,7 @@
   const members = plan
     .free(best.fabricDomain, model.upstream)
     .slice(0, model.hosts)
-    .map(fact => fact.host.id);
+    .map(observation => observation.host.id);
   const content = { model: name, version: model.version, adapters: model.adapters };
   const reason = `a wanted replica is missing; ${best.free} hosts are free here`;
   const alternatives: Alternative[] = candidates.map(candidate => ({
@@ -76,7 +77,7 @@
   }));
   plan.add(
     best.fabricDomain,
-    groupName(name, ledger),
+    newGroupId(name, ledger),
     reason,
     { kind: 'form', content, members },
     alternatives,
@@ -94,13 +95,13 @@
     .filter(candidate => candidate.free >= model.hosts);
 }
 
-// Free hosts that remain should still make whole groups, else be as few as possible.
+// Number of free hosts that would remain without making a whole group of the model; lower is better.
 function fragmentation(candidate: Candidate, model: Model): number {
-  const left = candidate.free - model.hosts;
-  return left % model.hosts;
+  const remaining = candidate.free - model.hosts;
+  return remaining % model.hosts;
 }
 
-// Epochs are never handed out twice, so neither are names.
-function groupName(model: string, ledger: Ledger): string {
+// Epochs are never reused, so group names are not either.
+function newGroupId(model: string, ledger: Ledger): string {
   return `${model}-${ledger.fabricDomain}-${ledger.lastEpoch + 1}`;
 }
--- a/packages/core/src/decision/host-loss.ts
+++ b/packages/core/src/decision/host-loss.ts
@@ -1,11 +1,11 @@
-/** The `host-loss` policies in force, and what they answer for a broken group. */
+/** Runs the configured `host-loss` policies for a suspended group. */
 import type { Configuration } from '../configuration/objects.js';
 import type { HostLossAnswer, HostLossInput, Program } from '../policies/program.js';
 import { compile, runHostLoss } from '../policies/program.js';
 
-const compiled = new WeakMap<Configuration, readonly Program[]>();
+const compiledPrograms = new WeakMap<Configuration, readonly Program[]>();
 
-/** The first answer that is not `default`; a program that fails answers `default`. */
+/** The first answer other than `default`, and the number of programs that failed before it; a failure is skipped. */
 export function hostLossAnswer(
   configuration: Configuration,
   input: HostLossInput,
@@ -22,15 +22,15 @@
   return { answer: 'default', failures };
 }
 
-// A configuration never changes, so its programs are compiled once.
+// A configuration object is immutable, so its programs are compiled once.
 function programsOf(configuration: Configuration): readonly Program[] {
-  let programs = compiled.get(configuration);
+  let programs = compiledPrograms.get(configuration);
   if (programs === undefined) {
     programs = [...configuration.policies.values()].flatMap(policy => {
       const result = policy.hook === 'host-loss' ? compile(policy.hook, policy.program) : undefined;
       return result?.ok === true ? [result.value] : [];
     });
-    compiled.set(configuration, programs);
+    compiledPrograms.set(configuration, programs);
   }
   return programs;
 }
--- a/packages/core/src/decision/ledger-order.ts
+++ b/packages/core/src/decision/ledger-order.ts
@@ -1,4 +1,4 @@
-/** Orders that change a ledger, each with a reason an operator can read. */
+/** Changes to a ledger, each with a reason for operators. */
 import type { GroupContent, GroupId, GroupState, Ledger } from '../groups/ledger.js';
 import {
   clearUnfenced,
@@ -10,18 +10,19 @@
 } from '../groups/ledger.js';
 import type { FabricDomainId, HostId } from '../hosts/host.js';
 
-/** An alternative that was weighed, with its score; lower is better. */
+/** An alternative that the decision compared, with its score (a cost); lower is better. */
 export type Alternative = { readonly name: string; readonly score: number };
 
-/** An order with its reason. */
+/** A change to the ledger of one fabric domain, with its reason and the alternatives that were compared. */
 export type LedgerOrder = {
   readonly fabricDomain: FabricDomainId;
+  /** The group that changes; empty for `clear-unfenced`. */
   readonly group: GroupId;
   readonly reason: string;
   readonly alternatives: readonly Alternative[];
 } & LedgerAction;
 
-/** What an order does to the ledger. */
+/** The operation on the ledger. */
 export type LedgerAction =
   | {
       readonly kind: 'form';
@@ -38,25 +39,25 @@
   | { readonly kind: 'dissolve' }
   | { readonly kind: 'clear-unfenced'; readonly hosts: ReadonlySet<HostId> };
 
-/** Applies an order; throws `LedgerError` when the ledger does not allow it. */
-export function applyOrder(ledger: Ledger, order: LedgerOrder): Ledger {
-  switch (order.kind) {
+/** Applies a change; throws `LedgerError` when the ledger does not allow it. */
+export function applyOrder(ledger: Ledger, change: LedgerOrder): Ledger {
+  switch (change.kind) {
     case 'form':
-      return formGroup(ledger, order.group, order.content, order.members, order.reason);
+      return formGroup(ledger, change.group, change.content, change.members, change.reason);
     case 'move':
-      return moveGroup(ledger, order.group, order.state, order.reason);
+      return moveGroup(ledger, change.group, change.state, change.reason);
     case 'repair':
-      return repairGroup(ledger, order.group, order.replacements, order.content, order.reason);
+      return repairGroup(ledger, change.group, change.replacements, change.content, change.reason);
     case 'confirm-fenced':
-      return confirmFenced(ledger, order.group, order.host);
+      return confirmFenced(ledger, change.group, change.host);
     case 'dissolve':
-      return dissolveGroup(ledger, order.group);
+      return dissolveGroup(ledger, change.group);
     case 'clear-unfenced':
-      return clearUnfenced(ledger, order.hosts);
+      return clearUnfenced(ledger, change.hosts);
   }
 }
 
-/** Applies orders of one fabric domain in turn. */
-export function applyOrders(ledger: Ledger, orders: readonly LedgerOrder[]): Ledger {
-  return orders.reduce(applyOrder, ledger);
+/** Applies changes of one fabric domain one after the other. */
+export function applyOrders(ledger: Ledger, changes: readonly LedgerOrder[]): Ledger {
+  return changes.reduce(applyOrder, ledger);
 }
--- a/packages/core/src/decision/plan.ts
+++ b/packages/core/src/decision/plan.ts
@@ -1,4 +1,4 @@
-/** The plan that a decision builds up: orders, and the ledgers as they will be after them. */
+/** The plan that a decision builds: ledger changes, and the ledgers with these changes applied. */
 import type { Model } from '../configuration/objects.js';
 import type { Group, GroupId, Ledger } from '../groups/ledger.js';
 import { assignedHosts } from '../groups/ledger.js';
@@ -8,33 +8,33 @@
 import type { Alternative, LedgerAction, LedgerOrder } from './ledger-order.js';
 import { applyOrder } from './ledger-order.js';
 
-/** A group with the ledger that it stands in. */
+/** A group with the ledger that lists it. */
 export type PlacedGroup = { readonly ledger: Ledger; readonly group: Group };
 
-/** Collects orders; each one is applied at once, so that later choices see its effect. */
+/** Collects ledger changes; each one is applied at once, so that later choices see its effect. */
 export class Plan {
   readonly input: DecisionInput;
   readonly orders: LedgerOrder[] = [];
   readonly #ledgers: Map<FabricDomainId, Ledger>;
-  readonly #byFabric = new Map<FabricDomainId, HostFact[]>();
+  readonly #byFabricDomain = new Map<FabricDomainId, HostFact[]>();
 
   constructor(input: DecisionInput) {
     this.input = input;
     this.#ledgers = new Map(input.ledgers.map(ledger => [ledger.fabricDomain, ledger]));
-    for (const fact of input.hosts.values()) {
-      const { fabricDomain } = fact.host;
-      const facts = this.#byFabric.get(fabricDomain) ?? [];
-      facts.push(fact);
-      this.#byFabric.set(fabricDomain, facts);
+    for (const observation of input.hosts.values()) {
+      const { fabricDomain } = observation.host;
+      const observations = this.#byFabricDomain.get(fabricDomain) ?? [];
+      observations.push(observation);
+      this.#byFabricDomain.set(fabricDomain, observations);
     }
   }
 
-  /** The ledgers with all orders applied. */
+  /** The ledgers with all changes so far applied. */
   ledgers(): Ledger[] {
     return [...this.#ledgers.values()];
   }
 
-  /** The ledger of a fabric domain. */
+  /** The ledger of a fabric domain, which must be one of the input's. */
   ledger(fabricDomain: FabricDomainId): Ledger {
     return this.#ledgers.get(fabricDomain) as Ledger;
   }
@@ -44,7 +44,7 @@
     return this.ledgers().flatMap(ledger => ledger.groups.map(group => ({ ledger, group })));
   }
 
-  /** Adds an order and applies it. */
+  /** Adds a change and applies it; throws `LedgerError` when the ledger does not allow it. */
   add(
     fabricDomain: FabricDomainId,
     group: GroupId,
@@ -52,35 +52,35 @@
     action: LedgerAction,
     alternatives: readonly Alternative[] = [],
   ): void {
-    const order: LedgerOrder = { fabricDomain, group, reason, alternatives, ...action };
-    this.#ledgers.set(fabricDomain, applyOrder(this.ledger(fabricDomain), order));
-    this.orders.push(order);
+    const change: LedgerOrder = { fabricDomain, group, reason, alternatives, ...action };
+    this.#ledgers.set(fabricDomain, applyOrder(this.ledger(fabricDomain), change));
+    this.orders.push(change);
   }
 
-  /** Hosts of a fabric domain that may join a group now, steady ones first. */
+  /** Hosts of a fabric domain that may join a group now: first those that do not flap. */
   free(fabricDomain: FabricDomainId, upstream: string): HostFact[] {
     const ledger = this.ledger(fabricDomain);
-    const taken = assignedHosts(ledger);
-    return (this.#byFabric.get(fabricDomain) ?? [])
+    const assigned = assignedHosts(ledger);
+    return (this.#byFabricDomain.get(fabricDomain) ?? [])
       .filter(
-        fact =>
-          fact.host.upstream === upstream &&
-          !taken.has(fact.host.id) &&
-          !isLeaving(ledger, fact) &&
-          answers(fact) &&
-          fact.report?.group === null,
+        observation =>
+          observation.host.upstream === upstream &&
+          !assigned.has(observation.host.id) &&
+          !isLeaving(ledger, observation) &&
+          answers(observation) &&
+          observation.report?.group === null,
       )
       .sort((a, b) => flapRank(a) - flapRank(b) || a.host.id.localeCompare(b.host.id));
   }
 
-  /** Replicas of a model that count towards the wanted number: not draining or about to, not being undone. */
+  /** Number of replicas of a model that count towards the wanted number: not draining, not about to, not fencing. */
   held(model: string): number {
     return this.groups().filter(
       placed =>
         placed.group.content.model === model &&
         placed.group.state !== 'draining' &&
         placed.group.state !== 'fencing' &&
-        !isToDrain(placed),
+        !willDrain(placed),
     ).length;
   }
 
@@ -90,12 +90,12 @@
   }
 }
 
-/** True for a ready group with a host that an operator drains. */
-function isToDrain({ ledger, group }: PlacedGroup): boolean {
+// True for a ready group with a host that an operator drains.
+function willDrain({ ledger, group }: PlacedGroup): boolean {
   return group.state === 'ready' && group.members.some(host => ledger.cordoned.includes(host));
 }
 
-// Among steady hosts the number of losses does not matter, so that choices stay put.
-function flapRank(fact: HostFact): number {
-  return fact.losses >= FLAPPING_LOSSES ? fact.losses : 0;
+// Hosts below the flapping limit rank equally, so that a single loss does not change the choice of hosts.
+function flapRank(observation: HostFact): number {
+  return observation.losses >= FLAPPING_LOSSES ? observation.losses : 0;
 }
--- a/packages/core/src/decision/reconcile.ts
+++ b/packages/core/src/decision/reconcile.ts
@@ -1,6 +1,6 @@
 /**
- * Orders that follow from facts alone: a group is ready once all members have loaded, suspended
- * once one is missing, dissolved once its members are reset. Choices are made in `decide.ts`.
+ * Ledger changes that follow from observed states alone: a group becomes ready once all members have loaded, is
+ * suspended once one is missing, and is dissolved once its members are reset. `decide.ts` makes the choices.
  */
 import type { Group, Ledger } from '../groups/ledger.js';
 import type { HostId } from '../hosts/host.js';
@@ -15,47 +15,49 @@
 } from './decision-input.js';
 import type { LedgerAction, LedgerOrder } from './ledger-order.js';
 
-/** Orders for one ledger that follow from facts. */
+/** The changes to one ledger that follow from observed states. */
 export function reconcile(input: DecisionInput, ledger: Ledger): LedgerOrder[] {
-  const orders: LedgerOrder[] = [];
+  const changes: LedgerOrder[] = [];
   for (const group of ledger.groups) {
-    orders.push(...reconcileGroup(input, ledger, group));
+    changes.push(...reconcileGroup(input, ledger, group));
   }
   const cleared = clearedHosts(input, ledger);
   if (cleared.size > 0) {
     const reason = `reset confirmed: ${[...cleared].join(', ')}`;
-    orders.push(order(ledger, '', reason, { kind: 'clear-unfenced', hosts: cleared }));
+    changes.push(ledgerChange(ledger, '', reason, { kind: 'clear-unfenced', hosts: cleared }));
   }
-  return orders;
+  return changes;
 }
 
 function reconcileGroup(input: DecisionInput, ledger: Ledger, group: Group): LedgerOrder[] {
-  const facts = group.members.map(member => input.hosts.get(member));
+  const observations = group.members.map(member => input.hosts.get(member));
   switch (group.state) {
     case 'loading':
-      return reconcileLoading(ledger, group, facts);
+      return reconcileLoading(ledger, group, observations);
     case 'ready':
-      return reconcileReady(ledger, group, facts);
+      return reconcileReady(ledger, group, observations);
     case 'suspended':
-      return reconcileSuspended(input, ledger, group, facts);
+      return reconcileSuspended(input, ledger, group, observations);
     case 'draining':
-      return reconcileDraining(ledger, group, facts);
+      return reconcileDraining(ledger, group, observations);
     case 'fencing':
-      return reconcileFencing(input, ledger, group, facts);
+      return reconcileFencing(input, ledger, group, observations);
   }
 }
 
 function reconcileLoading(
   ledger: Ledger,
   group: Group,
-  facts: readonly (HostFact | undefined)[],
+  observations: readonly (HostFact | undefined)[],
 ): LedgerOrder[] {
-  if (facts.every(fact => memberIsLoaded(group, fact))) {
-    return [order(ledger, group.id, 'all members have loaded', move('ready'))];
+  if (observations.every(observation => memberIsLoaded(group, observation))) {
+    return [ledgerChange(ledger, group.id, 'all members have loaded', moveTo('ready'))];
   }
-  const lost = group.members.filter((_member, index) => isLost(facts[index]));
+  const lost = group.members.filter((_member, index) => isLost(observations[index]));
   if (lost.length > 0) {
-    return [order(ledger, group.id, `lost while loading: ${lost.join(', ')}`, move('suspended'))];
+    return [
+      ledgerChange(ledger, group.id, `lost while loading: ${lost.join(', ')}`, moveTo('suspended')),
+    ];
   }
   return [];
 }
@@ -63,32 +65,43 @@
 function reconcileReady(
   ledger: Ledger,
   group: Group,
-  facts: readonly (HostFact | undefined)[],
+  observations: readonly (HostFact | undefined)[],
 ): LedgerOrder[] {
-  const missing = group.members.filter((_member, index) => isMissing(group, facts[index]));
+  const missing = group.members.filter((_member, index) => isMissing(group, observations[index]));
   if (missing.length === 0) {
     return [];
   }
-  return [order(ledger, group.id, `missing: ${missing.join(', ')}`, move('suspended'))];
+  return [ledgerChange(ledger, group.id, `missing: ${missing.join(', ')}`, moveTo('suspended'))];
 }
 
 function reconcileSuspended(
   input: DecisionInput,
   ledger: Ledger,
   group: Group,
-  facts: readonly (HostFact | undefined)[],
+  observations: readonly (HostFact | undefined)[],
 ): LedgerOrder[] {
-  // A member that leaves is on its way out, even when it is back; so are outdated adapters.
-  const leaving = facts.some(fact => fact !== undefined && isLeaving(ledger, fact));
+  // A group with a leaving member or outdated adapters is repaired or dissolved, not made ready again.
+  const leaving = observations.some(
+    observation => observation !== undefined && isLeaving(ledger, observation),
+  );
   if (leaving || hasOutdatedAdapters(input, group)) {
     return [];
   }
-  if (facts.every(fact => memberIsLoaded(group, fact))) {
-    return [order(ledger, group.id, 'all members are back with their state', move('ready'))];
+  if (observations.every(observation => memberIsLoaded(group, observation))) {
+    return [
+      ledgerChange(ledger, group.id, 'all members are back with their state', moveTo('ready')),
+    ];
   }
-  // Members that answer without the state they had (a restart) load it again in the same epoch.
-  if (facts.every(fact => answers(fact))) {
-    return [order(ledger, group.id, 'all members are back, some must load again', move('loading'))];
+  // Members that restarted have lost their weights and load them again in the same epoch.
+  if (observations.every(observation => answers(observation))) {
+    return [
+      ledgerChange(
+        ledger,
+        group.id,
+        'all members are back, some must load again',
+        moveTo('loading'),
+      ),
+    ];
   }
   return [];
 }
@@ -96,75 +109,80 @@
 function reconcileDraining(
   ledger: Ledger,
   group: Group,
-  facts: readonly (HostFact | undefined)[],
+  observations: readonly (HostFact | undefined)[],
 ): LedgerOrder[] {
-  if (!facts.some(fact => isMissing(group, fact))) {
+  if (!observations.some(observation => isMissing(group, observation))) {
     return [];
   }
-  return [order(ledger, group.id, 'a member was lost while draining', move('suspended'))];
+  return [ledgerChange(ledger, group.id, 'a member was lost while draining', moveTo('suspended'))];
 }
 
 function reconcileFencing(
   input: DecisionInput,
   ledger: Ledger,
   group: Group,
-  facts: readonly (HostFact | undefined)[],
+  observations: readonly (HostFact | undefined)[],
 ): LedgerOrder[] {
   const confirmed = group.members.filter(
     (member, index) =>
       !group.fenced.includes(member) &&
-      answers(facts[index]) &&
-      facts[index].report?.group !== group.id,
+      answers(observations[index]) &&
+      observations[index].report?.group !== group.id,
   );
-  const orders = confirmed.map(host =>
-    order(ledger, group.id, 'reset confirmed', {
+  const changes = confirmed.map(host =>
+    ledgerChange(ledger, group.id, 'reset confirmed', {
       kind: 'confirm-fenced',
       host,
     }),
   );
-  const waiting = group.members.filter(
+  const unconfirmed = group.members.filter(
     (member, index) =>
       !group.fenced.includes(member) &&
       !confirmed.includes(member) &&
-      (answers(facts[index]) || isUnheard(facts[index])),
+      (answers(observations[index]) || isUnheard(observations[index])),
   );
-  if (waiting.length === 0 && ageOf(input, group) >= input.times.certificateMs) {
-    orders.push(
-      order(ledger, group.id, 'members are reset or silent', {
+  if (unconfirmed.length === 0 && ageOf(input, group) >= input.times.certificateMs) {
+    changes.push(
+      ledgerChange(ledger, group.id, 'members are reset or silent', {
         kind: 'dissolve',
       }),
     );
   }
-  return orders;
+  return changes;
 }
 
-// A host that answers for nothing has been reset or restarted; one not listed is gone for good.
+// A host that reports no group has been reset or restarted; a host that is no longer listed has been removed.
 function clearedHosts(input: DecisionInput, ledger: Ledger): Set<HostId> {
   const cleared = new Set<HostId>();
   for (const entry of ledger.unfenced) {
-    const fact = input.hosts.get(entry.host);
-    const reset = answers(fact) && fact.report?.group === null;
-    if (fact === undefined || reset) {
+    const observation = input.hosts.get(entry.host);
+    const reset = answers(observation) && observation.report?.group === null;
+    if (observation === undefined || reset) {
       cleared.add(entry.host);
     }
   }
   return cleared;
 }
 
-// A host that this observer has not heard yet is not known to be missing.
-function isMissing(group: Group, fact: HostFact | undefined): boolean {
-  return isLost(fact) || (answers(fact) && !memberIsLoaded(group, fact));
+// A host that has not answered this observer yet does not count as missing.
+function isMissing(group: Group, observation: HostFact | undefined): boolean {
+  return isLost(observation) || (answers(observation) && !memberIsLoaded(group, observation));
 }
 
-function isLost(fact: HostFact | undefined): boolean {
-  return fact === undefined || fact.isMissing;
+function isLost(observation: HostFact | undefined): boolean {
+  return observation === undefined || observation.isMissing;
 }
 
-function move(state: Group['state']): LedgerAction {
+function moveTo(state: Group['state']): LedgerAction {
   return { kind: 'move', state };
 }
 
-function order(ledger: Ledger, group: string, reason: string, action: LedgerAction): LedgerOrder {
+function ledgerChange(
+  ledger: Ledger,
+  group: string,
+  reason: string,
+  action: LedgerAction,
+): LedgerOrder {
   return {
     fabricDomain: ledger.fabricDomain,
     group,
--- a/packages/core/src/groups/domain-view.ts
+++ b/packages/core/src/groups/domain-view.ts
@@ -1,35 +1,35 @@
-/** What gateways see of a failure domain, built from ledgers and hosts. */
+/** Builds the view of a failure domain that gateways receive, from ledgers and hosts. */
 import { createHash } from 'node:crypto';
 
 import type { Configuration } from '../configuration/objects.js';
 import type { FailureDomainId, Host, HostId } from '../hosts/host.js';
 import type { Group, Ledger } from './ledger.js';
 
-/** A member of a group with the address where it answers. */
+/** A member of a group with its address (`http://ip:port`). */
 export type MemberAddress = { readonly host: HostId; readonly address: string };
 
-/** A group as gateways see it. */
+/** A group as sent to gateways. */
 export type GroupView = {
   readonly group: Group;
   readonly failureDomain: FailureDomainId;
   readonly members: readonly MemberAddress[];
-  /** False when any member's upstream does not check fences. */
+  /** True when the upstreams of all members check fences, that is, refuse requests with an old epoch. */
   readonly checksFence: boolean;
-  /** Requests the group runs at once. */
+  /** Number of requests that the group runs at once. */
   readonly slots: number;
 };
 
-/** What gateways of a failure domain know of its groups. */
+/** The groups and leaving hosts of a failure domain, as sent to gateways. */
 export type DomainView = {
   readonly failureDomain: FailureDomainId;
-  /** Hash of the content; another version means another content. */
+  /** Hash of the content: it changes exactly when the content changes. */
   readonly version: string;
   readonly groups: readonly GroupView[];
-  /** Hosts, by address, that the platform lists as leaving. */
+  /** Addresses of the hosts that the platform lists as leaving. */
   readonly leaving: readonly string[];
 };
 
-/** The view of one failure domain. */
+/** Builds the view of one failure domain. */
 export function buildView(
   failureDomain: FailureDomainId,
   configuration: Configuration,
@@ -40,14 +40,14 @@
   const groups = ledgers
     .filter(ledger => ledger.failureDomain === failureDomain)
     .flatMap(ledger => ledger.groups)
-    .map(group => groupView(failureDomain, configuration, byId, group));
+    .map(group => buildGroupView(failureDomain, configuration, byId, group));
   const leaving = hosts.filter(host => host.state === 'leaving').map(host => host.address);
   const content = { groups, leaving };
   const version = createHash('sha1').update(JSON.stringify(content)).digest('hex');
   return { failureDomain, version, ...content };
 }
 
-function groupView(
+function buildGroupView(
   failureDomain: FailureDomainId,
   configuration: Configuration,
   hosts: ReadonlyMap<HostId, Host>,
--- a/packages/core/src/groups/ledger.ts
+++ b/packages/core/src/groups/ledger.ts
@@ -1,8 +1,8 @@
 /**
- * The ledger of a fabric domain: which host belongs to which group, in which state and epoch.
+ * The ledger of a fabric domain: its groups with their members, states and epochs.
  *
- * One ledger is one object in the platform, so "no host in two groups" is a property of a
- * single conditional update and does not depend on any lease.
+ * Each ledger is one object in the platform's store, so a single conditional update ensures that no host is in two
+ * groups, independently of any lease.
  */
 import type { FabricDomainId, FailureDomainId, HostId } from '../hosts/host.js';
 
@@ -10,13 +10,13 @@
 export type GroupId = string;
 
 /**
- * Life of a group. `loading`: members receive load orders. `ready`: may take requests under a
- * certificate. `suspended`: a member is missing, no new work. `draining`: finishes its work,
- * no new work. `fencing`: members are reset one by one before their hosts are released.
+ * State of a group. `loading`: its members receive load orders. `ready`: it may take requests under a readiness
+ * certificate. `suspended`: a member is missing; it takes no new requests. `draining`: it finishes its requests and
+ * takes no new ones. `fencing`: its members are reset one by one before their hosts are released.
  */
 export type GroupState = 'loading' | 'ready' | 'suspended' | 'draining' | 'fencing';
 
-/** What a group serves. */
+/** The model version and adapters that a group serves. */
 export type GroupContent = {
   readonly model: string;
   readonly version: string;
@@ -28,38 +28,38 @@
   readonly id: GroupId;
   readonly content: GroupContent;
   readonly state: GroupState;
-  /** Fencing epoch; grows with every change of members. */
+  /** Fencing number; a repair, which may change members, gives the group a new and higher one. */
   readonly epoch: number;
-  /** Rank order; the first member is the leader and takes the requests. */
+  /** Members in rank order; the head (rank 0) takes the requests. */
   readonly members: readonly HostId[];
   /** Members whose reset has been confirmed while the group is `fencing`. */
   readonly fenced: readonly HostId[];
-  /** Why the group came into its present state. */
+  /** Why the group changed to its present state. */
   readonly reason: string;
 };
 
-/** The ledger object as stored. */
+/** The ledger as stored in the platform's store. */
 export type Ledger = {
   readonly fabricDomain: FabricDomainId;
   readonly failureDomain: FailureDomainId;
-  /** Highest epoch ever handed out in this fabric domain. */
+  /** Highest epoch ever assigned in this fabric domain. */
   readonly lastEpoch: number;
-  /** Operation id of the last write, by which a writer finds out if a lost answer took effect. */
+  /** Id of the last write operation: a writer whose answer was lost reads it to see whether its write took effect. */
   readonly lastOperation: string;
   readonly groups: readonly Group[];
-  /** Hosts that left a group without a confirmed reset: not to be used before they are reset. */
+  /** Hosts that left a group without a confirmed reset; they must be reset before they join another group. */
   readonly unfenced: readonly UnfencedHost[];
-  /** Hosts that an operator drains: they take no new group, and their groups move away. */
+  /** Hosts that an operator drains: they join no group, and their groups move to other hosts. */
   readonly cordoned: readonly HostId[];
 };
 
-/** A host whose last known order belongs to an old epoch. */
+/** A host that left a group without a confirmed reset, with the group's epoch at that time. */
 export type UnfencedHost = {
   readonly host: HostId;
   readonly epoch: number;
 };
 
-/** A change of the ledger that is not allowed. */
+/** Thrown for a change that the ledger does not allow. */
 export class LedgerError extends Error {
   readonly reason: 'host-in-two-groups' | 'unknown-group' | 'illegal-transition' | 'unfenced-host';
 
@@ -70,7 +70,7 @@
   }
 }
 
-/** States each state may move to. */
+/** The states that may follow each state. */
 const NEXT_STATES: Readonly<Record<GroupState, readonly GroupState[]>> = {
   loading: ['ready', 'suspended', 'draining', 'fencing'],
   ready: ['suspended', 'draining', 'fencing'],
@@ -79,7 +79,7 @@
   fencing: ['loading'],
 };
 
-/** A ledger without groups. */
+/** Creates a ledger without groups. */
 export function emptyLedger(fabricDomain: FabricDomainId, failureDomain: FailureDomainId): Ledger {
   return {
     fabricDomain,
@@ -92,7 +92,7 @@
   };
 }
 
-/** Finds a group or throws `unknown-group`. */
+/** Finds a group; throws `unknown-group` when the ledger does not list it. */
 export function groupOf(ledger: Ledger, id: GroupId): Group {
   const group = ledger.groups.find(candidate => candidate.id === id);
   if (group === undefined) {
@@ -101,7 +101,7 @@
   return group;
 }
 
-/** The hosts a ledger accounts for: members of groups, and hosts awaiting a reset. */
+/** Hosts that are members of a group or await a reset, and so may not join another group. */
 export function assignedHosts(ledger: Ledger): Set<HostId> {
   const hosts = new Set<HostId>();
   for (const group of ledger.groups) {
@@ -115,7 +115,7 @@
   return hosts;
 }
 
-/** Throws when a host stands in two groups, or in a group while it still awaits a reset. */
+/** Throws when a host is in two groups, or in a group while it still awaits a reset. */
 export function assertLegal(ledger: Ledger): void {
   const seen = new Set<HostId>();
   for (const group of ledger.groups) {
@@ -133,7 +133,7 @@
   }
 }
 
-/** Adds a group in state `loading` with a fresh epoch. */
+/** Adds a group in state `loading` with a new epoch. */
 export function formGroup(
   ledger: Ledger,
   id: GroupId,
@@ -164,7 +164,10 @@
 export function moveGroup(ledger: Ledger, id: GroupId, state: GroupState, reason: string): Ledger {
   const group = groupOf(ledger, id);
   if (!NEXT_STATES[group.state].includes(state)) {
-    throw new LedgerError('illegal-transition', `group ${id}: ${group.state} to ${state}`);
+    throw new LedgerError(
+      'illegal-transition',
+      `group ${id} may not move from ${group.state} to ${state}`,
+    );
   }
   return replaceGroup(ledger, { ...group, state, reason });
 }
@@ -181,14 +184,14 @@
   });
 }
 
-/** Removes a `fencing` group. Members without a confirmed reset stay behind as unfenced hosts. */
+/** Removes a `fencing` group. Members without a confirmed reset stay in the ledger as unfenced hosts. */
 export function dissolveGroup(ledger: Ledger, id: GroupId): Ledger {
   const group = groupOf(ledger, id);
   if (group.state !== 'fencing') {
     throw new LedgerError('illegal-transition', `group ${id} is ${group.state}, not fencing`);
   }
-  const left = group.members.filter(member => !group.fenced.includes(member));
-  const unfenced = left.map(host => ({ host, epoch: group.epoch }));
+  const unfencedMembers = group.members.filter(member => !group.fenced.includes(member));
+  const unfenced = unfencedMembers.map(host => ({ host, epoch: group.epoch }));
   return {
     ...ledger,
     groups: ledger.groups.filter(candidate => candidate.id !== id),
@@ -197,8 +200,8 @@
 }
 
 /**
- * Replaces missing members of a suspended group by spares. The group gets a new epoch and loads
- * again; the members that left stay behind as unfenced hosts.
+ * Replaces missing members of a suspended group by free hosts. The group gets a new epoch and loads again; the replaced
+ * members stay in the ledger as unfenced hosts.
  */
 export function repairGroup(
   ledger: Ledger,
@@ -213,7 +216,7 @@
   }
   const epoch = ledger.lastEpoch + 1;
   const members = group.members.map(member => replacements.get(member) ?? member);
-  const left = [...replacements.keys()].map(host => ({
+  const unfencedMembers = [...replacements.keys()].map(host => ({
     host,
     epoch: group.epoch,
   }));
@@ -227,14 +230,14 @@
     reason,
   };
   const next = replaceGroup(
-    { ...ledger, lastEpoch: epoch, unfenced: [...ledger.unfenced, ...left] },
+    { ...ledger, lastEpoch: epoch, unfenced: [...ledger.unfenced, ...unfencedMembers] },
     repaired,
   );
   assertLegal(next);
   return next;
 }
 
-/** Forgets unfenced hosts that confirmed a reset, or that the platform no longer lists. */
+/** Removes the entries of unfenced hosts that confirmed a reset or that the platform no longer lists. */
 export function clearUnfenced(ledger: Ledger, hosts: ReadonlySet<HostId>): Ledger {
   return {
     ...ledger,
@@ -242,7 +245,7 @@
   };
 }
 
-/** Marks a host as drained by an operator, or takes the mark back. */
+/** Cordons a host that an operator drains, or removes the cordon. */
 export function setCordon(ledger: Ledger, host: HostId, cordoned: boolean): Ledger {
   const others = ledger.cordoned.filter(other => other !== host);
   return { ...ledger, cordoned: cordoned ? [...others, host] : others };
--- a/packages/core/src/hosts/host-protocol.ts
+++ b/packages/core/src/hosts/host-protocol.ts
@@ -1,11 +1,11 @@
-/** The published protocol of model-engine hosts, as far as the system uses it. */
+/** The part of the published protocol of model-engine hosts that the system uses. */
 import type { GroupId } from '../groups/ledger.js';
 import type { HostId } from './host.js';
 
-/** Answer of `GET /v1/state`: what a host holds. */
+/** Answer of `GET /v1/state`: the group, model and adapters that a host holds. */
 export type HostStateReport = {
   readonly host: HostId;
-  /** Changes with every start of the host's engine. */
+  /** Id of the host start; changes with every start of the host's engine. */
   readonly incarnation: string;
   readonly group: GroupId | null;
   readonly epoch: number;
@@ -13,18 +13,18 @@
   readonly model: string | null;
   readonly version: string | null;
   readonly adapters: readonly string[];
-  /** Streams that run on the host as leader of its group. */
+  /** Number of streams that run on the host as head of its group. */
   readonly running: number;
 };
 
 /** Body of `POST /v1/orders`. Orders are idempotent by kind, group and epoch. */
 export type HostOrder = LoadOrder | ResetOrder;
 
-/** Load a model as a member of a group. */
+/** Orders a host to load a model as a member of a group. */
 export type LoadOrder = {
   readonly kind: 'load';
   readonly operation: string;
-  /** Epoch of the sender's lease; hosts that check fences refuse lower ones. */
+  /** Epoch of the sender's lease; hosts that check fences refuse an epoch lower than one they have seen. */
   readonly fence: number;
   readonly group: GroupId;
   readonly epoch: number;
@@ -37,16 +37,16 @@
   readonly slots: number;
 };
 
-/** Forget the group: stop its streams and free the accelerators. */
+/** Orders a host to leave its group: to stop the group's streams and free the accelerators. */
 export type ResetOrder = {
   readonly kind: 'reset';
   readonly operation: string;
   readonly fence: number;
-  /** Epochs up to this one are void. */
+  /** Groups with this epoch or a lower one are no longer valid on the host. */
   readonly epoch: number;
 };
 
-/** Answer of `GET /v1/load`, which lags behind. */
+/** Answer of `GET /v1/load`; the figures are `ageMs` old. */
 export type EngineLoad = {
   readonly running: number;
   readonly queued: number;
@@ -54,16 +54,17 @@
   readonly ageMs: number;
 };
 
-/** One event of `GET /v1/cache-events`; numbers may have gaps and come late. */
+/** One event of `GET /v1/cache-events`. Event numbers may have gaps, and events may arrive late. */
 export type CacheEvent = {
   readonly number: number;
   readonly kind: 'stored' | 'evicted';
-  /** Hash of a prompt prefix, as the engine computes it, with its workspace salt. */
+  /** Hash of a prompt prefix as computed by the engine, salted with the workspace. */
   readonly prefix: string;
 };
 
 /** Answer of `GET /v1/cache-events`. */
 export type CacheEvents = {
+  /** Number of the next event. */
   readonly next: number;
   readonly events: readonly CacheEvent[];
 };
--- a/packages/core/src/hosts/host.ts
+++ b/packages/core/src/hosts/host.ts
@@ -6,18 +6,18 @@
 /** Name of a failure domain: hosts that can be cut off or lost together. */
 export type FailureDomainId = string;
 
-/** Name of a fabric domain: hosts joined by one accelerator network. Lies in one failure domain. */
+/** Name of a fabric domain: hosts that share one accelerator network, all in one failure domain. */
 export type FabricDomainId = string;
 
-/** What the platform's host list says of a host. `leaving` hosts will be reclaimed. */
+/** State of a host in the platform's host list. The platform will reclaim `leaving` hosts. */
 export type HostState = 'live' | 'leaving';
 
-/** One row of the platform's host list. */
+/** One entry of the platform's host list. */
 export type Host = {
   readonly id: HostId;
   readonly failureDomain: FailureDomainId;
   readonly fabricDomain: FabricDomainId;
-  /** `http://ip:port` where the host takes orders and requests. */
+  /** `http://ip:port` where the host accepts orders and requests. */
   readonly address: string;
   readonly accelerators: number;
   /** Name of the `[upstream]` object that describes this kind of host. */
@@ -25,7 +25,7 @@
   readonly state: HostState;
 };
 
-/** A snapshot of the host list with the store version it was read at. */
+/** A snapshot of the host list with the store version at which it was read. */
 export type HostList = {
   readonly version: number;
   readonly hosts: readonly Host[];
--- a/packages/core/src/hosts/lapsed-domains.test.ts
+++ b/packages/core/src/hosts/lapsed-domains.test.ts
@@ -1,10 +1,13 @@
-/** The pattern: a failure domain is cut off from the store for seconds, and heals. */
+/**
+ * Guards against acting on groups whose hosts only appear missing: a failure domain is cut off from the store for some
+ * seconds, then the connection is restored and the hosts are seen again one after the other.
+ */
 import { expect } from 'chai';
 
 import type { DomainHost } from './lapsed-domains.js';
 import { LapsedDomains } from './lapsed-domains.js';
 
-const CUT_AT = 10_000;
+const DISCONNECTED_AT = 10_000;
 
 function hosts(
   count: number,
@@ -14,24 +17,24 @@
   return Array.from({ length: count }, () => ({ fabricDomain, missingForMs }));
 }
 
-describe('fabric domains without their hosts', () => {
-  it('are those that lack most of them, until the last ones have had time to return', () => {
-    const lapsed = new LapsedDomains();
-    expect([...lapsed.observe(hosts(8, 0), CUT_AT)]).to.deep.equal(['d0']);
+describe('fabric domains that lose most of their hosts at once', () => {
+  it('are reported until the last hosts have had time to return', () => {
+    const detector = new LapsedDomains();
+    expect([...detector.observe(hosts(8, 0), DISCONNECTED_AT)]).to.deep.equal(['d0']);
     const after = (ms: number): readonly DomainHost[] => [...hosts(6), ...hosts(2, ms)];
-    expect(lapsed.observe(after(2_000), CUT_AT + 2_000).has('d0')).to.equal(true);
-    expect(lapsed.observe(after(4_400), CUT_AT + 4_400).has('d0')).to.equal(false);
+    expect(detector.observe(after(2_000), DISCONNECTED_AT + 2_000).has('d0')).to.equal(true);
+    expect(detector.observe(after(4_400), DISCONNECTED_AT + 4_400).has('d0')).to.equal(false);
   });
 
-  it('are not those that lose single hosts', () => {
-    const lapsed = new LapsedDomains();
-    expect(lapsed.observe([...hosts(6), ...hosts(2, 0)], CUT_AT).size).to.equal(0);
-    expect(lapsed.observe(hosts(1, 0, 'small'), CUT_AT).size).to.equal(0);
+  it('do not include domains that lose single hosts', () => {
+    const detector = new LapsedDomains();
+    expect(detector.observe([...hosts(6), ...hosts(2, 0)], DISCONNECTED_AT).size).to.equal(0);
+    expect(detector.observe(hosts(1, 0, 'small'), DISCONNECTED_AT).size).to.equal(0);
   });
 
-  it('are given up when their hosts stay away', () => {
-    const lapsed = new LapsedDomains();
-    lapsed.observe(hosts(8, 0), CUT_AT);
-    expect(lapsed.observe(hosts(8, 20_000), CUT_AT + 20_000).size).to.equal(0);
+  it('are no longer reported when their hosts stay missing', () => {
+    const detector = new LapsedDomains();
+    detector.observe(hosts(8, 0), DISCONNECTED_AT);
+    expect(detector.observe(hosts(8, 20_000), DISCONNECTED_AT + 20_000).size).to.equal(0);
   });
 });
--- a/packages/core/src/hosts/lapsed-domains.ts
+++ b/packages/core/src/hosts/lapsed-domains.ts
@@ -1,56 +1,58 @@
 /**
- * Tells which fabric domains have lost most of their hosts at once. Pure but for what it remembers.
+ * Detects fabric domains that have lost most of their hosts at once.
  *
- * A failure domain that is cut off for a moment, from the store or from the observer, loses sight of hosts that serve
- * on. When it is back, they return within a heartbeat or two, one after the other. Until then a missing host says
- * nothing about its group.
+ * When a failure domain is briefly cut off from the store or from the observer, its hosts appear missing although they
+ * keep serving. After the connection is restored, they are seen again within one or two heartbeats, one after the
+ * other. Until then a missing host is no reason to act on its group.
  */
 import type { FabricDomainId } from './host.js';
 
-/** One host as its observer sees it. */
+/** The observed state of one host. */
 export type DomainHost = {
   readonly fabricDomain: FabricDomainId;
-  /** Milliseconds for which it has been missing; undefined while it is not. */
+  /** Milliseconds for which the host has been missing; undefined while it is present. */
   readonly missingForMs: number | undefined;
 };
 
-/** Part of a domain's hosts that has to be missing, 0 to 1: losses of single hosts stay below. */
-const LAPSED_PART = 0.5;
-/** The same as a number of hosts, so that small domains are not taken for lapsed by one loss. */
-const LEAST_LAPSED = 3;
-/** Hosts that have been missing for longer are not waited for, in milliseconds. */
-const GIVEN_UP_MS = 15_000;
-/** Time in which the last hosts return after most have, in milliseconds (from the platform). */
-const RETURN_MS = 2_300;
+/** Least part of a domain's hosts (0 to 1) that must be missing; losses of single hosts stay below it. */
+const MIN_MISSING_PART = 0.5;
+/** Least number of hosts that must be missing, so that one loss does not count as a mass loss in a small domain. */
+const MIN_MISSING_HOSTS = 3;
+/** Milliseconds after which a missing host is no longer expected to return and does not count. */
+const MAX_MISSING_MS = 15_000;
+/** Milliseconds in which the last hosts return after most have (a property of the platform). */
+const RETURN_WINDOW_MS = 2_300;
 
-/** Remembers when domains were last found to lack most of their hosts. */
+/** Remembers when each fabric domain last lacked most of its hosts. */
 export class LapsedDomains {
-  readonly #lapsedAt = new Map<FabricDomainId, number>();
+  readonly #massLossAt = new Map<FabricDomainId, number>();
 
-  /** Looks at all hosts; gives the domains whose missing hosts may be back soon. */
+  /**
+   * Evaluates all hosts at `now` (monotonic ms). Returns the domains whose missing hosts may answer again soon.
+   */
   observe(hosts: readonly DomainHost[], now: number): ReadonlySet<FabricDomainId> {
-    const present = countsOf(hosts.filter(host => host.missingForMs === undefined));
-    const missing = countsOf(hosts.filter(host => isRecentlyMissing(host)));
+    const present = countByDomain(hosts.filter(host => host.missingForMs === undefined));
+    const missing = countByDomain(hosts.filter(host => isRecentlyMissing(host)));
     for (const [domain, count] of missing) {
-      const all = count + (present.get(domain) ?? 0);
-      if (count >= LEAST_LAPSED && count >= all * LAPSED_PART) {
-        this.#lapsedAt.set(domain, now);
+      const total = count + (present.get(domain) ?? 0);
+      if (count >= MIN_MISSING_HOSTS && count >= total * MIN_MISSING_PART) {
+        this.#massLossAt.set(domain, now);
       }
     }
-    for (const [domain, at] of this.#lapsedAt) {
-      if (now - at > RETURN_MS) {
-        this.#lapsedAt.delete(domain);
+    for (const [domain, at] of this.#massLossAt) {
+      if (now - at > RETURN_WINDOW_MS) {
+        this.#massLossAt.delete(domain);
       }
     }
-    return new Set(this.#lapsedAt.keys());
+    return new Set(this.#massLossAt.keys());
   }
 }
 
 function isRecentlyMissing({ missingForMs }: DomainHost): boolean {
-  return missingForMs !== undefined && missingForMs < GIVEN_UP_MS;
+  return missingForMs !== undefined && missingForMs < MAX_MISSING_MS;
 }
 
-function countsOf(hosts: readonly DomainHost[]): ReadonlyMap<FabricDomainId, number> {
+function countByDomain(hosts: readonly DomainHost[]): ReadonlyMap<FabricDomainId, number> {
   const counts = new Map<FabricDomainId, number>();
   for (const { fabricDomain } of hosts) {
     counts.set(fabricDomain, (counts.get(fabricDomain) ?? 0) + 1);
--- a/packages/core/src/policies/program.ts
+++ b/packages/core/src/policies/program.ts
@@ -1,9 +1,9 @@
-/** Policy programs: CEL expressions that are checked when a configuration is accepted. */
+/** Policy programs: CEL expressions. They are checked before a configuration is accepted. */
 import { Environment } from '@marcbachmann/cel-js';
 
 import type { PolicyHook } from '../configuration/objects.js';
 
-/** What the `priority` hook sees of a request. */
+/** Variables of the `priority` hook, which describe a request. */
 export type PriorityInput = {
   readonly workspace: string;
   readonly model: string;
@@ -12,39 +12,46 @@
   readonly waitedMs: number;
 };
 
-/** What the `capacity` hook sees of a workspace. */
+/** Variables of the `capacity` hook, which describe a workspace's use of a model. */
 export type CapacityInput = {
   readonly workspace: string;
   readonly model: string;
   readonly share: number;
-  /** Ready replicas of the model, and how many are wanted. */
+  /** Number of ready replicas of the model. */
   readonly ready: number;
+  /** Number of wanted replicas of the model. */
   readonly wanted: number;
 };
 
-/** What the `host-loss` hook sees of a group with a missing member. */
+/** Variables of the `host-loss` hook, which describe a suspended group. */
 export type HostLossInput = {
   readonly model: string;
   readonly importance: number;
+  /** Number of members of the group. */
   readonly hosts: number;
+  /** Number of missing members. */
   readonly missing: number;
+  /** Milliseconds since the group was suspended. */
   readonly missingMs: number;
+  /** Number of free hosts in the group's fabric domain. */
   readonly spares: number;
+  /** Estimated milliseconds until replacements have loaded the model. */
   readonly loadMs: number;
-  /** Other ready replicas of the model. */
+  /** Number of other ready replicas of the model. */
   readonly ready: number;
 };
 
 /** Answers of the `host-loss` hook; `default` leaves the choice to the decision function. */
 export const HOST_LOSS_ANSWERS = ['default', 'wait', 'repair', 'dissolve'] as const;
-/** One of the answers of the `host-loss` hook. */
+/** An answer of the `host-loss` hook. */
 export type HostLossAnswer = (typeof HOST_LOSS_ANSWERS)[number];
 
-/** Bound on the syntax nodes of a program; without loops it bounds the cost of a run. */
+/** Largest number of syntax nodes in a program. Programs have no loops, so it also bounds the cost of a run. */
 export const MAX_PROGRAM_NODES = 64;
 
 const NUMBER_RESULTS: readonly string[] = ['int', 'double'];
 
+// The variables of a hook with their CEL types, and the CEL types that its result may have.
 type HookType = {
   readonly variables: Readonly<Record<string, string>>;
   readonly results: readonly string[];
@@ -86,20 +93,20 @@
   },
 };
 
-/** Result of running a program: its value, or the reason why the default applies. */
+/** Result of compiling or running a program: its value, or the reason why it failed and the default applies. */
 export type PolicyRun<T> =
   { readonly ok: true; readonly value: T } | { readonly ok: false; readonly reason: string };
 
-/** A checked program, ready to run. */
+/** A compiled and type-checked program. */
 export type Program = (input: Readonly<Record<string, unknown>>) => unknown;
 
-/** Messages for everything wrong with a program: syntax, names, types, result type, size. */
+/** Returns the error messages of a program (syntax, names, types, result type, size); empty when it is valid. */
 export function checkPolicy(hook: PolicyHook, program: string): string[] {
   const compiled = compile(hook, program);
   return compiled.ok ? [] : [compiled.reason];
 }
 
-/** Compiles a program for a hook. */
+/** Compiles a program for a hook and checks its types. */
 export function compile(hook: PolicyHook, program: string): PolicyRun<Program> {
   try {
     const parsed = environmentFor(hook).parse(program);
@@ -112,7 +119,7 @@
       const wanted = results.join(' or ');
       return {
         ok: false,
-        reason: `program gives ${check.type}, the hook needs ${wanted}`,
+        reason: `program returns ${check.type}, but the hook requires ${wanted}`,
       };
     }
     return { ok: true, value: parsed as Program };
@@ -121,7 +128,7 @@
   }
 }
 
-/** Runs a program that must give a number within bounds. */
+/** Runs a program whose result must be a number between `min` and `max`. */
 export function runNumber(
   program: Program,
   input: PriorityInput | CapacityInput,
@@ -142,7 +149,7 @@
   return { ok: true, value };
 }
 
-/** Runs a `host-loss` program. */
+/** Runs a `host-loss` program, whose result must be one of `HOST_LOSS_ANSWERS`. */
 export function runHostLoss(program: Program, input: HostLossInput): PolicyRun<HostLossAnswer> {
   const run = runSafely(program, input);
   if (!run.ok) {
@@ -177,7 +184,7 @@
   return environment;
 }
 
-// The library appends the source with a marker; a finding already carries the place.
+// The library appends the marked source to its messages; the configuration error that reports this names the place.
 function firstLine(error: unknown): string {
   const message = error instanceof Error ? error.message : String(error);
   return message.split('\n')[0];
