--- a/packages/controller/src/bin-controller.ts
+++ b/packages/controller/src/bin-controller.ts
@@ -1,4 +1,4 @@
-/** Binary `hingescale-controller`. */
+/** Entry point of the `hingescale-controller` binary: reads the settings and runs one controller. */
 import { runServer } from '@hingescale/runtime';
 
 import { Controller } from './controller.js';
@@ -6,7 +6,8 @@
 
 await runServer({
   name: 'hingescale-controller',
-  description: 'Candidate for the lease of its failure domain; the holder decides on groups.',
+  description:
+    'Controller of a failure domain: a candidate for its lease; the lease holder decides on groups.',
   schema: controllerSchema,
   start: async settings => {
     const controller = new Controller(settings);
--- a/packages/controller/src/controller-settings.ts
+++ b/packages/controller/src/controller-settings.ts
@@ -1,4 +1,4 @@
-/** Settings of a controller. */
+/** Schema and type of a controller's settings file. */
 import { addressField, integerField, listField, textField } from '@hingescale/core';
 import type { SettingsOf } from '@hingescale/runtime';
 import {
@@ -10,7 +10,7 @@
 } from '@hingescale/runtime';
 import { z } from 'zod';
 
-/** Schema of the settings file. */
+/** Schema of the settings file, by section. */
 export const controllerSchema = {
   process: processSection,
   platform: platformSection,
@@ -19,7 +19,7 @@
   log: logSection,
   admin: z.strictObject({
     listen: addressField(),
-    /** `operator-name:sha256-of-key` of each operator. */
+    /** Operators that may use the administration API, each as `operator-name:sha256-of-key`. */
     operators: listField().refine(
       items => items.every(item => /^[\w.@-]+:[0-9a-f]{64}$/.test(item)),
       'must be NAME:SHA256, separated by commas',
@@ -28,12 +28,12 @@
     'tls-key': textField().optional(),
   }),
   orders: z.strictObject({
-    /** Shortest time between two orders of the same kind to a host. */
+    /** Shortest time between two sends of the same order to a host, in milliseconds. */
     'retry-ms': integerField(10, 600_000).default(1_000),
-    /** Hosts that may load at the same time. */
+    /** How many hosts may load at the same time. */
     'parallel-loads': integerField(1, 10_000).default(64),
   }),
 };
 
-/** Settings of a controller. */
+/** Parsed settings of a controller. */
 export type ControllerSettings = SettingsOf<typeof controllerSchema>;
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -1,4 +1,4 @@
-/** A controller: its tasks, wired together. */
+/** Creates the tasks of a controller process, connects them, and starts and stops them. */
 import type { ConfigurationHead, Evacuation, FailureDomainId, Ledger } from '@hingescale/core';
 import { ProblemError } from '@hingescale/core';
 import type { PollReply, PollRequest } from '@hingescale/link';
@@ -43,10 +43,10 @@
 import { PollHandler } from './views/poll-handler.js';
 import { RemoteDomains } from './views/remote-domains.js';
 
-/** Heartbeats that a gateway may miss before it is taken for gone. */
-const MISSED_HEARTBEATS = 8;
+/** Heartbeats that a gateway may miss before it counts as lost. */
+const MAX_MISSED_HEARTBEATS = 8;
 
-/** A controller process; candidates differ from the active one only by the lease. */
+/** A controller process. All candidates run the same tasks; the active one is the lease holder. */
 export class Controller implements RunningServer {
   readonly #settings: ControllerSettings;
   readonly #log: Log;
@@ -54,7 +54,7 @@
   readonly #instance: string;
   readonly #client: PlatformClient;
   readonly #hostClient: HostClient;
-  readonly #holder: ConfigurationHolder;
+  readonly #configurationHolder: ConfigurationHolder;
   readonly #hosts: HostWatcher;
   readonly #ledgers: ObjectWatcher<Ledger>;
   readonly #evacuations: ObjectWatcher<Evacuation>;
@@ -64,37 +64,34 @@
   readonly #remotes = new RemoteDomains();
   readonly #roster: GatewayRoster;
   readonly #peers: PeerTask;
-  readonly #loop: EventLoopWatch;
+  readonly #loopWatch: EventLoopWatch;
   #address = '';
-  #admin: HttpServer | undefined;
-  #server: LinkServer | undefined;
+  #adminServer: HttpServer | undefined;
+  #linkServer: LinkServer | undefined;
   #lease: LeaseTask | undefined;
   #groups: GroupTask | undefined;
   #domain: DomainTask | undefined;
   #keyOwners: KeyOwnerTask | undefined;
   #configurationWatch: ObjectWatcher<ConfigurationHead> | undefined;
   #restore: RestoreTask | undefined;
-  #handler: PollHandler | undefined;
+  #pollHandler: PollHandler | undefined;
 
   constructor(settings: ControllerSettings) {
     this.#settings = settings;
     const { process: self, platform, timing, links } = settings;
     this.#instance = `${self.name}/${newUuid()}`;
     this.#log = createLog({ process: self.name, ...settings.log });
-    this.#loop = new EventLoopWatch({ log: this.#log, metrics: this.#metrics });
+    this.#loopWatch = new EventLoopWatch({ log: this.#log, metrics: this.#metrics });
     this.#client = connectPlatform(platform, this.#log, this.#metrics);
-    this.#hostClient = new HostClient({
-      timeoutMs: timing['certificate-ms'],
-      log: this.#log,
-    });
-    this.#holder = new ConfigurationHolder(this.#log, this.#metrics);
+    this.#hostClient = new HostClient({ timeoutMs: timing['certificate-ms'], log: this.#log });
+    this.#configurationHolder = new ConfigurationHolder(this.#log, this.#metrics);
     this.#hosts = new HostWatcher(this.#client, platform['watch-wait-ms']);
     this.#ledgers = new ObjectWatcher(this.#client, 'ledger', platform['watch-wait-ms']);
     this.#evacuations = new ObjectWatcher(this.#client, 'evacuation', platform['watch-wait-ms']);
     this.#prober = new MemberProber(this.#hostClient, timing['probe-ms']);
     this.#collector = new LoadCollector(this.#hostClient, timing['heartbeat-ms']);
     this.#roster = new GatewayRoster({
-      silentAfterMs: timing['heartbeat-ms'] * MISSED_HEARTBEATS,
+      silentAfterMs: timing['heartbeat-ms'] * MAX_MISSED_HEARTBEATS,
     });
     const failureDomain = self['failure-domain'];
     const identity = { role: 'controller', name: self.name, failureDomain } as const;
@@ -107,17 +104,17 @@
       remoteControllers: links['remote-controllers'],
       periodMs: timing['heartbeat-ms'],
       links: this.#links,
-      holder: this.#holder,
+      holder: this.#configurationHolder,
       remotes: this.#remotes,
     });
   }
 
-  /** `ip:port` of the administration API. */
+  /** `ip:port` of the administration API; empty until it listens. */
   get adminAddress(): string {
-    return this.#admin?.address ?? '';
+    return this.#adminServer?.address ?? '';
   }
 
-  /** `ip:port` of the link. */
+  /** `ip:port` on which links are accepted; empty until it listens. */
   get linkAddress(): string {
     return this.#address;
   }
@@ -125,21 +122,21 @@
   /** Starts all tasks. */
   async start(): Promise<void> {
     const { links } = this.#settings;
-    this.#loop.start();
-    this.#server = new LinkServer({
+    this.#loopWatch.start();
+    this.#linkServer = new LinkServer({
       listen: links.listen,
       key: links.key,
       handlers: { [LINK_REQUESTS.poll]: (poll: PollRequest) => this.#answerPoll(poll) },
     });
-    this.#server.messages.on('rejected', () => {
+    this.#linkServer.messages.on('rejected', () => {
       this.#metrics.count('links_rejected_total');
     });
-    this.#address = await this.#server.listen();
-    // A fresh process takes the highest revision around before it reports ready.
+    this.#address = await this.#linkServer.listen();
+    // A new process adopts the highest revision that its peers or the store report before it reports ready.
     await Promise.all([this.#peers.askAll(), this.#readPlatform()]);
     await this.#startAdmin();
     this.#startLease();
-    this.#startDomain();
+    this.#startDomainTasks();
     this.#peers.start();
     this.#hosts.start();
     this.#ledgers.start();
@@ -147,11 +144,11 @@
     this.#prober.start();
     this.#collector.start();
     const waitMs = this.#settings.platform['watch-wait-ms'];
-    this.#configurationWatch = watchConfiguration(this.#client, this.#holder, waitMs);
+    this.#configurationWatch = watchConfiguration(this.#client, this.#configurationHolder, waitMs);
     this.#log.info('controller started', { address: this.#address });
   }
 
-  /** Gives the lease up, so that another candidate takes over at once. */
+  /** Stops deciding and releases the lease, so that another candidate takes over at once. */
   async drain(): Promise<void> {
     this.#log.info('controller stopping');
     await this.#groups?.stop();
@@ -161,10 +158,10 @@
     await this.#lease?.release();
   }
 
-  /** Ends all tasks. */
+  /** Stops all tasks and closes all connections. */
   async stop(): Promise<void> {
     const tasks = [
-      this.#loop,
+      this.#loopWatch,
       this.#groups,
       this.#restore,
       this.#keyOwners,
@@ -177,8 +174,8 @@
       this.#prober,
       this.#collector,
       this.#peers,
-      this.#server,
-      this.#admin,
+      this.#linkServer,
+      this.#adminServer,
     ];
     this.#links.close();
     await Promise.all(tasks.map(task => task?.stop()));
@@ -186,18 +183,18 @@
     await this.#hostClient.close();
   }
 
-  // Links are accepted before the rest is wired; an error makes the asker try again.
+  // Links are accepted before all tasks exist; the error makes the polling process retry.
   #answerPoll(poll: PollRequest): PollReply {
-    if (this.#handler === undefined) {
+    if (this.#pollHandler === undefined) {
       throw new Error('the controller is starting');
     }
-    return this.#handler.answer(poll);
+    return this.#pollHandler.answer(poll);
   }
 
   async #readPlatform(): Promise<void> {
     const revision = await readRevision(this.#client);
     if (revision.isOk) {
-      this.#holder.offer(revision.value);
+      this.#configurationHolder.offer(revision.value);
     }
   }
 
@@ -208,24 +205,25 @@
       client: this.#client,
       log: this.#log,
       metrics: this.#metrics,
-      ready: () => this.#holder.revision > 0,
+      ready: () => this.#configurationHolder.revision > 0,
       status: () => this.#status(),
-      explain: name => this.#explain(name),
-      burn: () => this.#burn(),
+      explain: name => this.#ordersAbout(name),
+      burn: () => this.#burnReport(),
       setCordon: (host, cordoned) => this.#setCordon(host, cordoned),
       evacuations: {
         client: this.#client,
-        failureDomains: () => this.#holder.configuration?.deployment['failure-domains'] ?? [],
+        failureDomains: () =>
+          this.#configurationHolder.configuration?.deployment['failure-domains'] ?? [],
         orders: () =>
           this.#evacuations.synced
             ? [...this.#evacuations.objects.values()].map(({ value }) => value)
             : undefined,
         take: order => this.#evacuations.take([order]),
       },
-      offer: revision => void this.#holder.offer(revision),
+      offer: revision => void this.#configurationHolder.offer(revision),
     });
     const tls = tlsFiles(admin['tls-certificate'], admin['tls-key']);
-    this.#admin = await listenHttp(app, admin.listen, { ...DEFAULT_HTTP_LIMITS, tls });
+    this.#adminServer = await listenHttp(app, admin.listen, { ...DEFAULT_HTTP_LIMITS, tls });
   }
 
   #startLease(): void {
@@ -249,23 +247,24 @@
       roster: this.#roster,
       periodMs: timing['heartbeat-ms'],
       keyMemoryMs: timing['key-memory-ms'],
-      settleMs: timing['heartbeat-ms'] * MISSED_HEARTBEATS,
+      settleMs: timing['heartbeat-ms'] * MAX_MISSED_HEARTBEATS,
     });
     this.#keyOwners.start();
   }
 
-  #startDomain(): void {
+  #startDomainTasks(): void {
     const { process: self, timing, orders } = this.#settings;
     const failureDomain = self['failure-domain'];
     const lease = this.#lease as LeaseTask;
     const domain = new DomainTask({
       failureDomain,
-      holder: this.#holder,
+      holder: this.#configurationHolder,
       hosts: this.#hosts,
       ledgers: this.#ledgers,
       prober: this.#prober,
       collector: this.#collector,
-      // A lapsed lease ends decisions, not probing: certificates rest on members' answers alone.
+      // After its lease has expired a process stops deciding but continues to probe: readiness certificates depend only
+      // on the answers of members.
       vouches: () => lease.lease?.holder === this.#instance,
     });
     domain.start();
@@ -277,7 +276,7 @@
       client: this.#client,
       failureDomain,
       holds: () => lease.holds(),
-      holder: this.#holder,
+      holder: this.#configurationHolder,
       configuration: () => this.#configurationWatch,
       ledgers: this.#ledgers,
       evacuations: this.#evacuations,
@@ -285,12 +284,12 @@
       metrics: this.#metrics,
     });
     this.#restore.start();
-    this.#handler = new PollHandler({
+    this.#pollHandler = new PollHandler({
       name: self.name,
       failureDomain,
       certificateMs: timing['certificate-ms'],
       lease,
-      holder: this.#holder,
+      holder: this.#configurationHolder,
       prober: this.#prober,
       roster: this.#roster,
       remotes: this.#remotes,
@@ -309,18 +308,18 @@
       prober: this.#prober,
       memory: new HostMemory({
         silentAfterMs: timing['certificate-ms'],
-        resumedAt: () => this.#loop.resumedAt(),
+        resumedAt: () => this.#loopWatch.resumedAt(),
       }),
       times: {
         certificateMs: timing['certificate-ms'],
         drainMs: timing['drain-ms'],
       },
       remote: () => this.#remotes.groups(),
-      absent: () => this.#absent(),
+      absent: () => this.#absentDomains(),
       periodMs: timing['heartbeat-ms'],
       orderRetryMs: orders['retry-ms'],
       parallelLoads: orders['parallel-loads'],
-      configuration: () => this.#holder.configuration,
+      configuration: () => this.#configurationHolder.configuration,
       holds: () => lease.holds(),
       fence: () => lease.epoch,
       log: this.#log,
@@ -333,10 +332,10 @@
     return this.#settings.admin['tls-certificate'] === undefined ? 'http' : 'https';
   }
 
-  #absent(): FailureDomainId[] {
-    const domains = this.#holder.configuration?.deployment['failure-domains'] ?? [];
+  #absentDomains(): FailureDomainId[] {
+    const domains = this.#configurationHolder.configuration?.deployment['failure-domains'] ?? [];
     const { timing } = this.#settings;
-    return this.#remotes.absent(domains, timing['absent-ms'], this.#loop.resumedAt());
+    return this.#remotes.absent(domains, timing['absent-ms'], this.#loopWatch.resumedAt());
   }
 
   #status(): ControllerStatus {
@@ -350,10 +349,10 @@
       controller: self.name,
       failureDomain: self['failure-domain'],
       active: this.#lease?.holds() ?? false,
-      revision: this.#holder.revision,
+      revision: this.#configurationHolder.revision,
       lease,
       groups,
-      certificates: view === undefined ? [] : (this.#handler?.ownCertificates(view) ?? []),
+      certificates: view === undefined ? [] : (this.#pollHandler?.ownCertificates(view) ?? []),
       hosts: [...(input?.hosts.values() ?? [])].map(fact => ({
         host: fact.host.id,
         fabricDomain: fact.host.fabricDomain,
@@ -367,13 +366,13 @@
     };
   }
 
-  #burn(): Promise<BurnReport> {
+  #burnReport(): Promise<BurnReport> {
     const failureDomain = this.#settings.process['failure-domain'];
-    const { configuration } = this.#holder;
+    const { configuration } = this.#configurationHolder;
     return collectBurn(failureDomain, this.#roster.status(), this.#links, configuration);
   }
 
-  #explain(name: string): ExplainedOrder[] | undefined {
+  #ordersAbout(name: string): ExplainedOrder[] | undefined {
     const input = this.#groups?.input();
     const orders = this.#groups?.history.about(name) ?? [];
     const isGroup = input?.ledgers.some(ledger => ledger.groups.some(group => group.id === name));
--- a/packages/controller/src/groups/group-task.ts
+++ b/packages/controller/src/groups/group-task.ts
@@ -1,4 +1,7 @@
-/** Carries out the group decision: writes ledgers, sends orders, resumes from the ledger alone. */
+/**
+ * Carries out the group decision: writes the ledgers and sends orders to hosts. A new lease holder continues from the
+ * ledgers alone.
+ */
 import type {
   Configuration,
   ContractTimes,
@@ -36,7 +39,7 @@
 import { dueOrders } from './host-orders.js';
 import { OrderHistory } from './order-history.js';
 
-/** Options of the group task. */
+/** What the group task needs: the store, the hosts, the state of the lease, and settings. */
 export type GroupTaskOptions = {
   readonly failureDomain: string;
   readonly client: PlatformClient;
@@ -46,43 +49,49 @@
   readonly prober: MemberProber;
   readonly memory: HostMemory;
   readonly times: ContractTimes;
-  /** Groups of other failure domains, as far as they are known. */
+  /** Known replica groups of other failure domains. */
   readonly remote: () => readonly RemoteGroup[];
-  /** Failure domains that have not been heard for long. */
+  /** Failure domains from which no report has arrived for the time in the setting `absent-ms`. */
   readonly absent: () => readonly FailureDomainId[];
+  /** Longest time between two decisions, in milliseconds; a change triggers one earlier. */
   readonly periodMs: number;
+  /** Shortest time between two sends of the same order to a host, in milliseconds. */
   readonly orderRetryMs: number;
+  /** How many hosts may load at the same time. */
   readonly parallelLoads: number;
   readonly configuration: () => Configuration | undefined;
   /** True while this process holds the lease. */
   readonly holds: () => boolean;
-  /** Fence of the lease. */
+  /** Epoch of the lease, which hosts use to reject orders of earlier lease holders. */
   readonly fence: () => number;
   readonly log: Log;
   readonly metrics: Metrics;
 };
 
-/** Attempts to write an operator's mark on a host; more conflicts in a row than decisions make. */
-const MOST_CORDON_WRITES = 5;
+/** Attempts to write a cordon; decisions do not cause that many conflicts in a row. */
+const MAX_CORDON_ATTEMPTS = 5;
 
-/** What the group task tells. */
+/** Events of the group task: `written` after it has written a ledger. */
 export type GroupMessages = { written: Ledger };
 
-/** Decides and acts for one failure domain, while the lease is held. */
+/** Decides on the groups of one failure domain and carries the decisions out while the lease is held. */
 export class GroupTask extends Task<GroupMessages> {
   readonly history = new OrderHistory();
   readonly #pauses = new WakeableSleep();
   readonly #options: GroupTaskOptions;
+  /** Since when each group has been in its state, in monotonic milliseconds, by its ageKey. */
   readonly #stateSince = new Map<string, number>();
+  /** When an order was last sent, in monotonic milliseconds, by host and operation. */
   readonly #orderSentAt = new Map<string, number>();
-  #held = false;
+  /** Whether the lease was held in the last cycle. */
+  #heldLease = false;
 
   constructor(options: GroupTaskOptions) {
     super();
     this.#options = options;
   }
 
-  /** Starts deciding. */
+  /** Starts the decision loop; a change of hosts, ledgers or probe results triggers the next decision at once. */
   start(): void {
     const { prober, ledgers, hosts, periodMs } = this.#options;
     for (const source of [prober.messages, ledgers.messages, hosts.messages]) {
@@ -92,13 +101,13 @@
     }
     this.run(async () => {
       while (!this.stopped) {
-        await this.#turn();
+        await this.#runCycle();
         await this.#pauses.sleep(periodMs, this.signal);
       }
     });
   }
 
-  /** Ledgers of the failure domain. */
+  /** Returns the stored ledgers of this failure domain. */
   ownLedgers(): StoredObject<Ledger>[] {
     const { ledgers, failureDomain } = this.#options;
     return [...ledgers.objects.values()].filter(
@@ -106,7 +115,7 @@
     );
   }
 
-  /** Facts of this moment, or undefined while something essential is unknown. */
+  /** Returns the current input of the decision; undefined until configuration, hosts and ledgers have been read. */
   input(): DecisionInput | undefined {
     const { hosts, ledgers, prober, memory, failureDomain } = this.#options;
     const configuration = this.#options.configuration();
@@ -114,21 +123,21 @@
       return undefined;
     }
     const now = monotonicMs();
-    const own = hosts.hosts.filter(host => host.failureDomain === failureDomain);
+    const ownHosts = hosts.hosts.filter(host => host.failureDomain === failureDomain);
     const ownLedgers = this.ownLedgers().map(stored => stored.value);
     return {
       failureDomain,
       configuration,
-      hosts: memory.facts(own, prober.observations, now),
+      hosts: memory.facts(ownHosts, prober.observations, now),
       ledgers: ownLedgers,
-      ages: this.#ages(ownLedgers, now),
+      ages: this.#stateAges(ownLedgers, now),
       times: this.#options.times,
       remote: this.#options.remote(),
       absent: this.#options.absent(),
     };
   }
 
-  /** Marks a host as drained by an operator, or takes the mark back. */
+  /** Cordons a host on behalf of an operator, or removes the cordon. */
   async setCordon(host: HostId, cordoned: boolean): Promise<void> {
     for (let attempt = 1; ; attempt++) {
       const written = await this.#writeCordon(host, cordoned);
@@ -137,9 +146,9 @@
         return;
       }
       const { reason, message } = written.error;
-      // Decisions write the ledger too; what they changed is taken in before the next attempt.
-      if (reason !== 'conflict' || attempt === MOST_CORDON_WRITES) {
-        throw notWritten(reason, message);
+      // Decisions write the ledger as well, so the next attempt starts from a fresh read.
+      if (reason !== 'conflict' || attempt === MAX_CORDON_ATTEMPTS) {
+        throw ledgerWriteProblem(reason, message);
       }
       const read = await this.#options.client.read<Ledger>('ledger', this.#ledgerOf(host).name);
       if (read.isOk) {
@@ -153,7 +162,7 @@
     const fabricDomain = hosts.hosts.find(candidate => candidate.id === host)?.fabricDomain;
     const stored = this.ownLedgers().find(entry => entry.value.fabricDomain === fabricDomain);
     if (stored === undefined) {
-      const detail = `no host ${host} is listed in this failure domain`;
+      const detail = `host ${host} is not listed in this failure domain`;
       throw new ProblemError({ status: 404, code: 'unknown-object', detail });
     }
     return stored;
@@ -168,9 +177,9 @@
     return this.#options.client.update('ledger', stored.name, stored.version, value);
   }
 
-  async #turn(): Promise<void> {
+  async #runCycle(): Promise<void> {
     const { holds, fence, metrics, parallelLoads } = this.#options;
-    if (!this.#beginTurn(holds())) {
+    if (!this.#beginCycle(holds())) {
       return;
     }
     const input = this.input();
@@ -178,25 +187,25 @@
       return;
     }
     const startedAt = monotonicMs();
-    const forced = input.ledgers.flatMap(ledger => reconcile(input, ledger));
-    // Choices build on ledgers without pending facts, so that one turn writes each ledger once.
-    const orders = forced.length > 0 ? forced : decide(input);
+    const reconciling = input.ledgers.flatMap(ledger => reconcile(input, ledger));
+    // Decisions assume ledgers without pending facts. Making them only then also writes each ledger once per cycle.
+    const orders = reconciling.length > 0 ? reconciling : decide(input);
     metrics.histogram('decision').record(monotonicMs() - startedAt);
     await this.#createLedgers(input);
     await this.#writeLedgers(orders);
     this.#sendOrders(dueOrders(input, fence(), parallelLoads));
   }
 
-  // A candidate does not probe, so what it remembers of silence must not count once it holds.
-  #beginTurn(holds: boolean): boolean {
-    if (holds && !this.#held) {
+  // A candidate does not probe, so silence recorded before it acquired the lease must not count.
+  #beginCycle(holds: boolean): boolean {
+    if (holds && !this.#heldLease) {
       this.#options.memory.forget();
     }
-    this.#held = holds;
+    this.#heldLease = holds;
     return holds;
   }
 
-  #ages(ledgers: readonly Ledger[], now: number): Map<string, number> {
+  #stateAges(ledgers: readonly Ledger[], now: number): Map<string, number> {
     const ages = new Map<string, number>();
     for (const group of ledgers.flatMap(ledger => ledger.groups)) {
       const key = ageKey(group);
@@ -238,7 +247,7 @@
 
   async #writeLedger(stored: StoredObject<Ledger>, orders: readonly LedgerOrder[]): Promise<void> {
     const { client, ledgers, metrics } = this.#options;
-    const applied = this.#apply(stored.value, orders);
+    const applied = this.#applyOrders(stored.value, orders);
     if (applied.orders.length === 0) {
       return;
     }
@@ -248,7 +257,7 @@
       outcome: written.isOk ? 'ok' : written.error.reason,
     });
     if (written.isErr) {
-      // Whether it took effect or not, the ledger as it stands now is what counts.
+      // The write may have taken effect although it failed, so the stored ledger is read.
       const read = await client.read<Ledger>('ledger', value.fabricDomain);
       if (read.isErr) {
         return;
@@ -260,20 +269,20 @@
     } else {
       await ledgers.take([written.value]);
     }
-    this.#note(applied.orders);
+    this.#recordOrders(applied.orders);
     await this.messages.emit('written', value);
   }
 
-  #apply(
+  #applyOrders(
     ledger: Ledger,
     orders: readonly LedgerOrder[],
   ): { ledger: Ledger; orders: LedgerOrder[] } {
-    const done: LedgerOrder[] = [];
+    const applied: LedgerOrder[] = [];
     let next = ledger;
     for (const order of orders) {
       try {
         next = applyOrder(next, order);
-        done.push(order);
+        applied.push(order);
       } catch (error) {
         if (!(error instanceof LedgerError)) {
           throw error;
@@ -283,10 +292,10 @@
         });
       }
     }
-    return { ledger: next, orders: done };
+    return { ledger: next, orders: applied };
   }
 
-  #note(orders: readonly LedgerOrder[]): void {
+  #recordOrders(orders: readonly LedgerOrder[]): void {
     const { log, metrics } = this.#options;
     for (const order of orders) {
       const detail = order.kind === 'move' ? `move to ${order.state}` : order.kind;
@@ -306,28 +315,28 @@
         this.#orderSentAt.delete(operation);
       }
     }
-    for (const due of orders) {
-      const key = `${due.host}/${due.order.operation}`;
+    for (const addressed of orders) {
+      const key = `${addressed.host}/${addressed.order.operation}`;
       if (!this.#orderSentAt.has(key) && this.#options.holds()) {
         this.#orderSentAt.set(key, now);
-        void this.#send(due);
+        void this.#sendOrder(addressed);
       }
     }
   }
 
-  async #send(due: AddressedOrder): Promise<void> {
+  async #sendOrder(addressed: AddressedOrder): Promise<void> {
     const { hostClient, prober, metrics } = this.#options;
     const sentAt = monotonicMs();
-    const answer = await hostClient.order(due.address, due.order);
+    const answer = await hostClient.order(addressed.address, addressed.order);
     const outcome = answer.isOk ? 'ok' : answer.error.reason;
-    metrics.count('host_orders_total', { kind: due.order.kind, outcome });
+    metrics.count('host_orders_total', { kind: addressed.order.kind, outcome });
     if (answer.isOk) {
-      prober.take(due.host, answer.value, sentAt);
+      prober.take(addressed.host, answer.value, sentAt);
     }
   }
 }
 
-function notWritten(reason: PlatformError['reason'], message: string): ProblemError {
+function ledgerWriteProblem(reason: PlatformError['reason'], message: string): ProblemError {
   return new ProblemError({
     status: 503,
     code: 'platform-unavailable',
--- a/packages/controller/src/groups/host-memory.ts
+++ b/packages/controller/src/groups/host-memory.ts
@@ -1,75 +1,82 @@
-/** What the controller remembers of hosts between decisions: silence and losses. */
+/** Tracks how long each host has been silent and how often it was lost, from one decision to the next. */
 import type { FabricDomainId, Host, HostFact, HostId } from '@hingescale/core';
 import { LapsedDomains } from '@hingescale/core';
 import type { HostObservation } from '@hingescale/upstream';
 
 import { ScopeSilence } from '../silence/scope-silence.js';
 
-/** How long a loss of a host counts against it. */
+/** How long a loss of a host counts against it, in milliseconds. */
 export const LOSS_MEMORY_MS = 600_000;
 
-/** Options of the memory. */
+/** Thresholds and clocks of the tracking. */
 export type HostMemoryOptions = {
   /** Time without an answer after which a host counts as silent, in milliseconds. */
   readonly silentAfterMs: number;
-  /** When this process ran again after an interruption, in monotonic milliseconds; -Infinity: never interrupted. */
+  /** When this process last resumed after an interruption, in monotonic milliseconds; -Infinity if it never did. */
   readonly resumedAt: () => number;
 };
 
-type Memory = {
+/** What is kept of a host between two calls. */
+type HostRecord = {
+  /** Last reported incarnation. */
   incarnation: string | undefined;
+  /** Whether it counted as missing at the last call. */
   missing: boolean;
+  /** Times of the losses that still count, in monotonic milliseconds, oldest first. */
   readonly losses: number[];
 };
 
-/** The silence of a host. */
-type Silence = {
+/** How long a host has been silent and what may be concluded from that. */
+type HostSilence = {
+  /** Milliseconds since the probe that it last answered; 0 while it is not silent. */
   readonly silentMs: number;
+  /** True if it is silent although it could have answered, or was missing before and is still silent. */
   readonly isMissing: boolean;
-  /** True when it had the time to answer since this process or its fabric domain was last out of contact. */
-  readonly hadTime: boolean;
+  /** True if it had time to answer since this process or its fabric domain was last out of contact. */
+  readonly hadTimeToAnswer: boolean;
 };
 
-/** Turns observations into the facts that the decision sees. */
+/** Turns the observations of the prober into the facts that the group decision works on. */
 export class HostMemory {
   readonly #options: HostMemoryOptions;
-  readonly #memories = new Map<HostId, Memory>();
-  readonly #firstSeen = new Map<HostId, number>();
-  readonly #byFabric = new Map<FabricDomainId, ScopeSilence>();
-  #all: ScopeSilence;
-  #lapsed = new LapsedDomains();
+  readonly #records = new Map<HostId, HostRecord>();
+  /** When each host was first listed; its silence is counted from then until it first answers. */
+  readonly #firstSeenAt = new Map<HostId, number>();
+  readonly #fabricSilences = new Map<FabricDomainId, ScopeSilence>();
+  #overallSilence: ScopeSilence;
+  #lapsedDomains = new LapsedDomains();
 
   constructor(options: HostMemoryOptions) {
     this.#options = options;
-    this.#all = new ScopeSilence(options.silentAfterMs);
+    this.#overallSilence = new ScopeSilence(options.silentAfterMs);
   }
 
-  /** Forgets everything; for an observer that starts to probe. */
+  /** Discards all state, for an observer that begins to probe. */
   forget(): void {
-    this.#memories.clear();
-    this.#firstSeen.clear();
-    this.#byFabric.clear();
-    this.#all = new ScopeSilence(this.#options.silentAfterMs);
-    this.#lapsed = new LapsedDomains();
+    this.#records.clear();
+    this.#firstSeenAt.clear();
+    this.#fabricSilences.clear();
+    this.#overallSilence = new ScopeSilence(this.#options.silentAfterMs);
+    this.#lapsedDomains = new LapsedDomains();
   }
 
-  /** The facts at a moment, by host. */
+  /** Returns the facts by host at the time `now`, in monotonic milliseconds, and records losses. */
   facts(
     hosts: readonly Host[],
     observations: ReadonlyMap<HostId, HostObservation>,
     now: number,
   ): Map<HostId, HostFact> {
-    this.#observeScopes(hosts, observations, now);
-    const listenedSince = Math.max(this.#options.resumedAt(), this.#all.heardAgainAt);
+    this.#observeSilences(hosts, observations, now);
+    const inContactSince = Math.max(this.#options.resumedAt(), this.#overallSilence.heardAgainAt);
     const isConclusive =
-      !this.#all.isSilent(now) && now - listenedSince > this.#options.silentAfterMs;
+      !this.#overallSilence.isSilent(now) && now - inContactSince > this.#options.silentAfterMs;
     const silences = new Map(
       hosts.map(host => [
         host.id,
-        this.#silence(host, observations.get(host.id), isConclusive, now),
+        this.#silenceOf(host, observations.get(host.id), isConclusive, now),
       ]),
     );
-    const lapsed = this.#lapsed.observe(
+    const lapsedDomains = this.#lapsedDomains.observe(
       hosts.map(({ id, fabricDomain }) => {
         const silentMs = silences.get(id)?.silentMs ?? 0;
         return { fabricDomain, missingForMs: silentMs > 0 ? silentMs : undefined };
@@ -78,10 +85,10 @@
     );
     const facts = new Map<HostId, HostFact>();
     for (const host of hosts) {
-      const { silentMs, isMissing, hadTime } = silences.get(host.id) as Silence;
+      const { silentMs, isMissing, hadTimeToAnswer } = silences.get(host.id) as HostSilence;
       const report = observations.get(host.id)?.report;
-      const losses = this.#noteLosses(host.id, report?.incarnation, isMissing, now);
-      const mayReturn = silentMs > 0 && (!hadTime || lapsed.has(host.fabricDomain));
+      const losses = this.#recordLosses(host.id, report?.incarnation, isMissing, now);
+      const mayReturn = silentMs > 0 && (!hadTimeToAnswer || lapsedDomains.has(host.fabricDomain));
       const answerAgeMs = now - (observations.get(host.id)?.probeSentAt ?? now);
       facts.set(host.id, {
         host,
@@ -93,11 +100,11 @@
         losses,
       });
     }
-    this.#dropUnlisted(facts);
+    this.#removeUnlisted(facts);
     return facts;
   }
 
-  #observeScopes(
+  #observeSilences(
     hosts: readonly Host[],
     observations: ReadonlyMap<HostId, HostObservation>,
     now: number,
@@ -108,64 +115,70 @@
       newest.set(fabricDomain, Math.max(sentAt, newest.get(fabricDomain) ?? -Infinity));
     }
     for (const [fabricDomain, newestAt] of newest) {
-      this.#fabric(fabricDomain).observe(newestAt, now);
+      this.#fabricSilence(fabricDomain).observe(newestAt, now);
     }
-    this.#all.observe(Math.max(...newest.values()), now);
+    this.#overallSilence.observe(Math.max(...newest.values()), now);
   }
 
-  // `isConclusive`: this process ran and heard some host for long enough, so that the others could have answered.
-  #silence(
+  // `isConclusive`: this process has run and received answers from some host for long enough, so that the other hosts
+  // could have answered too.
+  #silenceOf(
     host: Host,
     observation: HostObservation | undefined,
     isConclusive: boolean,
     now: number,
-  ): Silence {
+  ): HostSilence {
     const { silentAfterMs } = this.#options;
-    const firstSeen = this.#firstSeen.get(host.id) ?? now;
-    this.#firstSeen.set(host.id, firstSeen);
-    const quietMs = now - (observation?.probeSentAt ?? firstSeen);
-    const isSilent = quietMs > silentAfterMs;
-    const wasMissing = this.#memories.get(host.id)?.missing ?? false;
-    const domainHeardAt = this.#fabric(host.fabricDomain).heardAgainAt;
+    const firstSeen = this.#firstSeenAt.get(host.id) ?? now;
+    this.#firstSeenAt.set(host.id, firstSeen);
+    const sinceAnswerMs = now - (observation?.probeSentAt ?? firstSeen);
+    const isSilent = sinceAnswerMs > silentAfterMs;
+    const wasMissing = this.#records.get(host.id)?.missing ?? false;
+    const domainRecoveredAt = this.#fabricSilence(host.fabricDomain).heardAgainAt;
     return {
-      silentMs: isSilent ? quietMs : 0,
-      // Once missing, a host stays so until it answers, whatever happens to the observer.
+      silentMs: isSilent ? sinceAnswerMs : 0,
+      // A missing host stays missing until it answers, even if the observer itself is interrupted meanwhile.
       isMissing: isSilent && (isConclusive || wasMissing),
-      hadTime: isConclusive && now - domainHeardAt > silentAfterMs,
+      hadTimeToAnswer: isConclusive && now - domainRecoveredAt > silentAfterMs,
     };
   }
 
-  #fabric(fabricDomain: FabricDomainId): ScopeSilence {
-    const known = this.#byFabric.get(fabricDomain);
-    const silence = known ?? new ScopeSilence(this.#options.silentAfterMs);
-    this.#byFabric.set(fabricDomain, silence);
+  #fabricSilence(fabricDomain: FabricDomainId): ScopeSilence {
+    const existing = this.#fabricSilences.get(fabricDomain);
+    const silence = existing ?? new ScopeSilence(this.#options.silentAfterMs);
+    this.#fabricSilences.set(fabricDomain, silence);
     return silence;
   }
 
-  #noteLosses(id: HostId, incarnation: string | undefined, missing: boolean, now: number): number {
-    const memory = this.#memories.get(id) ?? {
+  #recordLosses(
+    id: HostId,
+    incarnation: string | undefined,
+    missing: boolean,
+    now: number,
+  ): number {
+    const record = this.#records.get(id) ?? {
       incarnation,
       missing: false,
       losses: [],
     };
-    const restarted = memory.incarnation !== undefined && incarnation !== memory.incarnation;
-    if ((missing && !memory.missing) || (restarted && !memory.missing)) {
-      memory.losses.push(now);
+    const restarted = record.incarnation !== undefined && incarnation !== record.incarnation;
+    if ((missing && !record.missing) || (restarted && !record.missing)) {
+      record.losses.push(now);
     }
-    memory.missing = missing;
-    memory.incarnation = incarnation ?? memory.incarnation;
-    while (memory.losses.length > 0 && memory.losses[0] < now - LOSS_MEMORY_MS) {
-      memory.losses.shift();
+    record.missing = missing;
+    record.incarnation = incarnation ?? record.incarnation;
+    while (record.losses.length > 0 && record.losses[0] < now - LOSS_MEMORY_MS) {
+      record.losses.shift();
     }
-    this.#memories.set(id, memory);
-    return memory.losses.length;
+    this.#records.set(id, record);
+    return record.losses.length;
   }
 
-  #dropUnlisted(listed: ReadonlyMap<HostId, HostFact>): void {
-    for (const id of this.#memories.keys()) {
+  #removeUnlisted(listed: ReadonlyMap<HostId, HostFact>): void {
+    for (const id of this.#records.keys()) {
       if (!listed.has(id)) {
-        this.#memories.delete(id);
-        this.#firstSeen.delete(id);
+        this.#records.delete(id);
+        this.#firstSeenAt.delete(id);
       }
     }
   }
--- a/packages/controller/src/groups/host-orders.ts
+++ b/packages/controller/src/groups/host-orders.ts
@@ -1,4 +1,4 @@
-/** The orders that hosts should have received, derived from the ledgers alone. */
+/** Derives the orders that hosts have to carry out from the ledgers and the last reported state of the hosts. */
 import type {
   Configuration,
   DecisionInput,
@@ -9,14 +9,19 @@
 } from '@hingescale/core';
 import { answers, loadingNow } from '@hingescale/core';
 
-/** An order to send to a host. */
+/** An order and the host that it is sent to. */
 export type AddressedOrder = {
   readonly host: HostId;
+  /** `ip:port` of the host. */
   readonly address: string;
   readonly order: HostOrder;
 };
 
-/** Orders whose effect is not seen yet; sending one again does no harm. */
+/**
+ * Returns the orders whose effect no report shows yet. Orders are idempotent, so each one may be sent repeatedly until
+ * then. `fence` is the epoch of the lease; `parallelLoads` limits how many hosts load at the same time;
+ * the first group may exceed it.
+ */
 export function dueOrders(
   input: DecisionInput,
   fence: number,
@@ -27,7 +32,7 @@
     ...ledger.groups
       .filter(group => group.state !== 'loading' || loading.has(group.id))
       .flatMap(group => groupOrders(input, group, fence)),
-    ...unfencedOrders(input, ledger, fence),
+    ...resetUnfencedOrders(input, ledger, fence),
   ]);
 }
 
@@ -82,7 +87,11 @@
   };
 }
 
-function unfencedOrders(input: DecisionInput, ledger: Ledger, fence: number): AddressedOrder[] {
+function resetUnfencedOrders(
+  input: DecisionInput,
+  ledger: Ledger,
+  fence: number,
+): AddressedOrder[] {
   return ledger.unfenced.flatMap(entry => resetOrder(input, entry.host, entry.epoch, fence));
 }
 
--- a/packages/controller/src/groups/order-history.ts
+++ b/packages/controller/src/groups/order-history.ts
@@ -1,9 +1,9 @@
-/** The last orders with their reasons, for `hingescale explain`. */
+/** Keeps the most recent orders with their reasons, for `hingescale explain`. */
 import type { LedgerOrder } from '@hingescale/core';
 
-/** An order as operators see it. */
+/** An order in the form that the administration API shows to operators. */
 export type ExplainedOrder = {
-  /** ISO time for people. */
+  /** When the order was recorded: wall clock, ISO 8601. */
   readonly at: string;
   readonly kind: string;
   readonly group: string;
@@ -13,13 +13,14 @@
   readonly alternatives: LedgerOrder['alternatives'];
 };
 
-const KEPT_ORDERS = 500;
+/** Older orders are discarded. */
+const MAX_ORDERS = 500;
 
-/** A bounded list of orders, newest last. */
+/** A list of at most MAX_ORDERS orders, newest last. */
 export class OrderHistory {
   readonly #orders: ExplainedOrder[] = [];
 
-  /** Adds an order. */
+  /** Adds an order with the current time; the oldest one is discarded when the list is full. */
   add(order: LedgerOrder): void {
     const kind = order.kind === 'move' ? `move to ${order.state}` : order.kind;
     const { group, fabricDomain, reason, alternatives } = order;
@@ -34,12 +35,12 @@
       reason,
       alternatives,
     });
-    if (this.#orders.length > KEPT_ORDERS) {
+    if (this.#orders.length > MAX_ORDERS) {
       this.#orders.shift();
     }
   }
 
-  /** Orders that concern a group or a host. */
+  /** Returns the orders that concern the group or host of this name. */
   about(name: string): ExplainedOrder[] {
     return this.#orders.filter(order => order.group === name || order.hosts.includes(name));
   }
--- a/packages/controller/src/lease/lease-task.ts
+++ b/packages/controller/src/lease/lease-task.ts
@@ -1,4 +1,4 @@
-/** The lease of the failure domain: takes it, renews it, and knows until when it is held. */
+/** Acquires and renews the lease of the failure domain and determines until when this process holds it. */
 import type { KeyOwnerTable, Lease, LeaseObservation } from '@hingescale/core';
 import {
   emptyKeyTable,
@@ -13,90 +13,97 @@
 import { monotonicMs, newUuid, sleep, Task, WakeableSleep } from '@hingescale/runtime';
 import type { Result } from 'true-myth';
 
-/** Options of the lease task. */
+/** What the lease task needs: the store, the identity of this process, and the times of the lease. */
 export type LeaseTaskOptions = {
   readonly client: PlatformClient;
   readonly failureDomain: string;
+  /** Name of this process instance, written as the holder of the lease. */
   readonly holder: string;
+  /** `ip:port` of its link. */
   readonly address: string;
+  /** URL of its administration API. */
   readonly adminAddress: string;
   readonly durationMs: number;
+  /** Lease time of a newly created key table, in milliseconds. */
   readonly keyLeaseMs: number;
   readonly log: Log;
   readonly metrics: Metrics;
-  /** True while the known holder answers on its link, so that the platform need not be asked. */
+  /** True while the known lease holder answers on its link; the store is not read then. */
   readonly holderAnswers: (lease: Lease) => boolean;
 };
 
-/** What the lease task tells. */
+/** Events of the lease task, with the epoch of the lease. */
 export type LeaseMessages = {
   acquired: { readonly epoch: number };
   lost: { readonly epoch: number };
 };
 
+/** Renewals that are attempted within the duration of one lease. */
 const RENEWALS_PER_LEASE = 3;
+/** Shortest regular pause between two accesses to the lease, in milliseconds. */
 const MIN_PAUSE_MS = 20;
-/** Time between two looks at a lease that is about to be renewed, in milliseconds. */
+/** Time between two checks whether a late renewal has succeeded, in milliseconds. */
 const RENEWAL_CHECK_MS = 20;
 
-/** Owns the lease object of one failure domain. */
+/** Competes for the lease object of one failure domain and renews it while this process holds it. */
 export class LeaseTask extends Task<LeaseMessages> {
   readonly #pauses = new WakeableSleep();
   readonly #options: LeaseTaskOptions;
   #stored: StoredObject<Lease> | undefined;
   #observation: LeaseObservation | undefined;
+  /** Until when the lease is held, in monotonic milliseconds. */
   #deadline = -Infinity;
   #confirmedAt = -Infinity;
-  #holding = false;
-  /** Since when the lease has been missing. */
+  #isHolder = false;
+  /** Since when the lease has been missing in the store, in monotonic milliseconds. */
   #missingSince: number | undefined;
-  #wantedKeys: ((table: KeyOwnerTable) => KeyOwnerTable) | undefined;
+  #pendingKeyChange: ((table: KeyOwnerTable) => KeyOwnerTable) | undefined;
 
   constructor(options: LeaseTaskOptions) {
     super();
     this.#options = options;
   }
 
-  /** True while this process holds the lease, judged by its own clock at this moment. */
+  /** True while this process holds the lease according to its own clock. */
   holds(): boolean {
-    return this.#holding && monotonicMs() < this.#deadline;
+    return this.#isHolder && monotonicMs() < this.#deadline;
   }
 
-  /** Epoch of the lease as last seen; the fence of orders while the lease is held. */
+  /** Epoch of the last observed lease, 0 if none; it is the fence of orders while the lease is held. */
   get epoch(): number {
     return this.#stored?.value.epoch ?? 0;
   }
 
-  /** The lease as last seen. */
+  /** The last observed lease. */
   get lease(): Lease | undefined {
     return this.#stored?.value;
   }
 
-  /** When the newest successful write of this process was sent; it confirms the key table. */
+  /** When the last successful write of this process was sent, in monotonic milliseconds; it confirms the key table. */
   get confirmedAt(): number {
     return this.#confirmedAt;
   }
 
-  /** Starts to seek and keep the lease. */
+  /** Starts the loop that acquires the lease and renews it. */
   start(): void {
     this.run(async () => {
       while (!this.stopped) {
-        await (this.#holding ? this.#renew() : this.#seek());
+        await (this.#isHolder ? this.#renew() : this.#tryAcquire());
         await this.#pause();
       }
     });
   }
 
-  /** Changes the key table with a renewal of its own; only while the lease is held. */
+  /** Changes the key table with an immediate renewal; to be called only while the lease is held. */
   changeKeys(change: (table: KeyOwnerTable) => KeyOwnerTable): void {
-    const before = this.#wantedKeys;
-    this.#wantedKeys = table => change(before?.(table) ?? table);
+    const pending = this.#pendingKeyChange;
+    this.#pendingKeyChange = table => change(pending?.(table) ?? table);
     this.#pauses.wake();
   }
 
   /**
-   * Waits, while this process is the last known holder and late with a renewal, until the lease is held again or the
-   * time of one lease is over.
+   * Waits for a late renewal: as long as this process is the last observed lease holder but its deadline has passed, at
+   * most for the duration of one lease.
    */
   async awaitRenewal(): Promise<void> {
     const { holder, durationMs } = this.#options;
@@ -106,13 +113,13 @@
     }
   }
 
-  /** Gives the lease up, so that a candidate may take it at once. */
+  /** Releases the lease, so that another candidate can acquire it at once. */
   async release(): Promise<void> {
     this.#options.metrics.gauge('lease_held', 0);
     if (!this.holds() || this.#stored === undefined) {
       return;
     }
-    this.#holding = false;
+    this.#isHolder = false;
     const value = {
       ...this.#stored.value,
       holder: '',
@@ -137,25 +144,25 @@
     if (stored === undefined) {
       return;
     }
-    const change = this.#wantedKeys;
-    this.#wantedKeys = undefined;
+    const change = this.#pendingKeyChange;
+    this.#pendingKeyChange = undefined;
     const sentAt = monotonicMs();
     const keys = change?.(stored.value.keys) ?? stored.value.keys;
     const era = eraOf(stored.version);
     const value = { ...stored.value, operation: newUuid(), keys, era };
     const written = await this.#options.client.update('lease', this.#name, stored.version, value);
-    if (await this.#settle(written, value, sentAt)) {
+    if (await this.#processWrite(written, value, sentAt)) {
       return;
     }
     if (change !== undefined) {
       this.changeKeys(change);
     }
     if (!this.holds()) {
-      this.#lose();
+      this.#markLost();
     }
   }
 
-  async #seek(): Promise<void> {
+  async #tryAcquire(): Promise<void> {
     const known = this.#stored?.value;
     if (known !== undefined && known.holder !== '' && this.#options.holderAnswers(known)) {
       this.#observation = undefined;
@@ -163,58 +170,58 @@
     }
     const read = await this.#options.client.read<Lease>('lease', this.#name);
     if (read.isOk) {
-      await this.#consider(read.value);
+      await this.#evaluate(read.value);
     } else if (read.error.reason === 'missing' && this.#mayCreate()) {
-      await this.#take(undefined);
+      await this.#acquire(undefined);
     }
   }
 
-  // A lease that was there is missing where the platform has come back from a copy of before: its holder may still
-  // act.
+  // A lease that was observed before is missing if the store was restored from an older copy. Its holder may still act,
+  // so this process waits for one lease duration before it creates a new one.
   #mayCreate(): boolean {
     const now = monotonicMs();
     this.#missingSince ??= now;
     return this.#stored === undefined || now - this.#missingSince >= this.#options.durationMs;
   }
 
-  async #consider(seen: StoredObject<Lease>): Promise<void> {
+  async #evaluate(observed: StoredObject<Lease>): Promise<void> {
     const now = monotonicMs();
-    this.#stored = seen;
+    this.#stored = observed;
     this.#missingSince = undefined;
-    if (this.#observation?.version !== seen.version) {
-      const durationMs = seen.value.durationMs;
+    if (this.#observation?.version !== observed.version) {
+      const durationMs = observed.value.durationMs;
       this.#observation = {
-        version: seen.version,
+        version: observed.version,
         durationMs,
         firstSeenAt: now,
       };
     }
-    const isReleased = seen.value.holder === '' && isOfItsEra(seen.value, seen.version);
+    const isReleased = observed.value.holder === '' && isOfItsEra(observed.value, observed.version);
     if (isReleased || mayTakeOver(this.#observation, now)) {
-      await this.#take(seen);
+      await this.#acquire(observed);
     }
   }
 
-  async #take(present: StoredObject<Lease> | undefined): Promise<void> {
+  async #acquire(current: StoredObject<Lease> | undefined): Promise<void> {
     const { client, holder, address, adminAddress, durationMs, keyLeaseMs } = this.#options;
     const value: Lease = {
       failureDomain: this.#name,
       holder,
       address,
       adminAddress,
-      epoch: nextEpoch(present?.value, client.era),
-      era: present === undefined ? client.era : eraOf(present.version),
+      epoch: nextEpoch(current?.value, client.era),
+      era: current === undefined ? client.era : eraOf(current.version),
       durationMs,
       operation: newUuid(),
-      keys: present?.value.keys ?? emptyKeyTable(keyLeaseMs),
+      keys: current?.value.keys ?? emptyKeyTable(keyLeaseMs),
     };
     const sentAt = monotonicMs();
     const written =
-      present === undefined
+      current === undefined
         ? await client.create('lease', this.#name, value)
-        : await client.update('lease', this.#name, present.version, value);
-    if (await this.#settle(written, value, sentAt)) {
-      this.#holding = true;
+        : await client.update('lease', this.#name, current.version, value);
+    if (await this.#processWrite(written, value, sentAt)) {
+      this.#isHolder = true;
       this.#observation = undefined;
       this.#options.metrics.gauge('lease_held', 1);
       this.#options.log.info('lease acquired', { epoch: value.epoch });
@@ -222,8 +229,9 @@
     }
   }
 
-  // A write whose answer is lost, or that says conflict, may still have taken effect.
-  async #settle(
+  // Processes the result of a write and returns whether it took effect. One that failed as unknown or conflict may have
+  // done so, therefore the lease is read.
+  async #processWrite(
     written: Result<StoredObject<Lease>, PlatformError>,
     value: Lease,
     sentAt: number,
@@ -248,7 +256,7 @@
       this.#stored = read.value;
       this.#deadline = -Infinity;
     } else if (this.#stored?.value.epoch === read.value.value.epoch) {
-      // The platform has lost renewals: the next one is written under the version that it has now.
+      // The store has lost renewals; the next renewal uses the version that is stored now.
       this.#stored = { ...this.#stored, version: read.value.version };
     }
     return false;
@@ -260,9 +268,9 @@
     this.#deadline = holderDeadline(sentAt, stored.value.durationMs);
   }
 
-  #lose(): void {
-    this.#holding = false;
-    this.#wantedKeys = undefined;
+  #markLost(): void {
+    this.#isHolder = false;
+    this.#pendingKeyChange = undefined;
     this.#options.metrics.gauge('lease_held', 0);
     this.#options.log.warn('lease lost', { epoch: this.epoch });
     void this.messages.emit('lost', { epoch: this.epoch });
--- a/packages/controller/src/restore/restore-task.ts
+++ b/packages/controller/src/restore/restore-task.ts
@@ -1,6 +1,6 @@
 /**
- * Writes again what the platform has lost by coming back from an older copy, on the controller that holds the
- * lease: the ledgers and the evacuation of its failure domain, and the configuration in force.
+ * Writes objects back that the store lost when it was restored from an older copy: the ledgers and the evacuation of
+ * the failure domain, and the configuration in force. Only the controller that holds the lease does so.
  */
 import type { ConfigurationHead, Evacuation, Ledger } from '@hingescale/core';
 import type { ConfigurationHolder, ObjectWatcher, PlatformClient } from '@hingescale/object-store';
@@ -8,12 +8,14 @@
 import type { Log, Metrics } from '@hingescale/runtime';
 import { sleep, Task } from '@hingescale/runtime';
 
-/** Options of a restore task. */
+/** What a restore task needs: the store, the watched objects to compare with it, and the state of the lease. */
 export type RestoreTaskOptions = {
   readonly client: PlatformClient;
   readonly failureDomain: string;
+  /** True while this process holds the lease. */
   readonly holds: () => boolean;
   readonly holder: ConfigurationHolder;
+  /** The watch on the configuration head; undefined until it is started. */
   readonly configuration: () => ObjectWatcher<ConfigurationHead> | undefined;
   readonly ledgers: ObjectWatcher<Ledger>;
   readonly evacuations: ObjectWatcher<Evacuation>;
@@ -21,10 +23,10 @@
   readonly metrics: Metrics;
 };
 
-/** Time between two looks, in milliseconds; a process that starts meanwhile believes the copy. */
-const PERIOD_MS = 200;
+/** Time between two checks, in milliseconds; a process that starts before the next one takes the copy as current. */
+const CHECK_PERIOD_MS = 200;
 
-/** Restores while the lease is held. */
+/** Checks for lost objects periodically and restores them while the lease is held. */
 export class RestoreTask extends Task<Record<string, never>> {
   readonly #options: RestoreTaskOptions;
 
@@ -33,14 +35,14 @@
     this.#options = options;
   }
 
-  /** Starts looking. */
+  /** Starts the periodic check. */
   start(): void {
     this.run(async () => {
       while (!this.stopped) {
         if (this.#options.holds()) {
           await this.#restore();
         }
-        await sleep(PERIOD_MS, this.signal);
+        await sleep(CHECK_PERIOD_MS, this.signal);
       }
     });
   }
@@ -48,18 +50,21 @@
   async #restore(): Promise<void> {
     const { client, failureDomain, holder, configuration, ledgers, evacuations } = this.#options;
     const isOwn = (value: Ledger | Evacuation): boolean => value.failureDomain === failureDomain;
-    this.#note('ledger', await restoreLost(client, 'ledger', ledgers, isOwn));
-    this.#note('evacuation', await restoreLost(client, 'evacuation', evacuations, isOwn));
+    this.#reportRestored('ledger', await restoreLost(client, 'ledger', ledgers, isOwn));
+    this.#reportRestored('evacuation', await restoreLost(client, 'evacuation', evacuations, isOwn));
     const heads = configuration();
     if (heads !== undefined && (await restoreConfiguration(client, heads, holder.current))) {
-      this.#note('configuration', ['head']);
+      this.#reportRestored('configuration', ['head']);
     }
   }
 
-  #note(kind: string, names: readonly string[]): void {
+  #reportRestored(kind: string, names: readonly string[]): void {
     for (const name of names) {
       this.#options.metrics.count('objects_restored_total', { kind });
-      this.#options.log.warn('object written again after an older copy', { kind, name });
+      this.#options.log.warn('object restored after the store came back from an older copy', {
+        kind,
+        name,
+      });
     }
   }
 }
--- a/packages/controller/src/silence/scope-silence.ts
+++ b/packages/controller/src/silence/scope-silence.ts
@@ -1,49 +1,52 @@
 /**
- * Tells whether a set of peers is silent as a whole, and when it was last heard again after that. Pure but for what it
- * remembers.
+ * Detects when all members of a set (hosts or processes) are silent at the same time, and when that silence ended.
  *
- * All of them silent at once say more of the observer or of the network than of any one. When one is heard again, the
- * others deserve the time to be heard that it had.
+ * If all members fall silent at once, the cause is more likely the observer or the network than any single member. When
+ * a message of one member arrives again, the others get the same time to report before they count as lost.
  */
 
-/** Remembers the silence of one set of peers; times are monotonic milliseconds. */
+/** Tracks the silence of one set. It reads no clock: callers pass the time, in monotonic milliseconds. */
 export class ScopeSilence {
   readonly #silentAfterMs: number;
   #newestAt = -Infinity;
-  #heardAgainAt = -Infinity;
-  #newestBeforeAt = -Infinity;
+  #recoveredAt = -Infinity;
+  #newestBeforeSilenceAt = -Infinity;
 
   constructor(silentAfterMs: number) {
     this.#silentAfterMs = silentAfterMs;
   }
 
-  /** When the set was last heard again after it had been silent as a whole; -Infinity: it never was. */
+  /** When the last silence of the whole set ended; the first message ends one as well, -Infinity before it. */
   get heardAgainAt(): number {
-    return this.#heardAgainAt;
+    return this.#recoveredAt;
   }
 
   /**
-   * Since when one of the set has to have been heard so as not to count as gone: as long ago as it may be silent,
-   * counted back from the begin of a silence of all while that lasts, and until the others had the time to be heard.
+   * Returns the cutoff time: a member whose last message is older counts as lost. It lies silentAfterMs before now.
+   * While the whole set is silent it lies silentAfterMs before the start of that silence; it stays there for
+   * silentAfterMs after the silence has ended, so that the other members have time to report.
    */
   countsSince(now: number): number {
     if (this.isSilent(now)) {
       return this.#newestAt - this.#silentAfterMs;
     }
-    const isJustBack = now - this.#heardAgainAt <= this.#silentAfterMs;
-    return (isJustBack ? Math.min(this.#newestBeforeAt, now) : now) - this.#silentAfterMs;
+    const isRecovering = now - this.#recoveredAt <= this.#silentAfterMs;
+    return (isRecovering ? Math.min(this.#newestBeforeSilenceAt, now) : now) - this.#silentAfterMs;
   }
 
-  /** Takes the time of the newest message of the set, or of the probe that it answers; -Infinity: there is none. */
+  /**
+   * Records the time of the newest message from the set, or of the probe that the message answers; -Infinity if there
+   * is none.
+   */
   observe(newestAt: number, now: number): void {
     if (newestAt - this.#newestAt > this.#silentAfterMs) {
-      this.#heardAgainAt = now;
-      this.#newestBeforeAt = this.#newestAt;
+      this.#recoveredAt = now;
+      this.#newestBeforeSilenceAt = this.#newestAt;
     }
     this.#newestAt = Math.max(this.#newestAt, newestAt);
   }
 
-  /** True while none of the set is heard. */
+  /** True while no member has sent a message for longer than silentAfterMs. */
   isSilent(now: number): boolean {
     return now - this.#newestAt > this.#silentAfterMs;
   }
