--- a/packages/entry/src/configuration/configuration-holder.ts
+++ b/packages/entry/src/configuration/configuration-holder.ts
@@ -1,4 +1,4 @@
-/** The configuration in force at this entry host, and how recently the store has confirmed it. */
+/** Holds the configuration in force at this entry host and the time at which the store last confirmed it. */
 import { elapsedMs } from '../server/elapsed-time.js';
 import type { Log } from '../server/log.js';
 import type { ObjectChange, ObjectList, StoredObject } from '../store/object-store.js';
@@ -6,28 +6,29 @@
 import { RouteTable } from './route-table.js';
 import type { ServingConfiguration } from './serving-configuration.js';
 
-/** Reads the configuration from the value of its object. */
+/** Parses the configuration from the value of its object in the store; throws if the value is invalid. */
 export type ConfigurationReader = (value: unknown) => ServingConfiguration;
 
-/** Options of a holder. */
+/** Options of {@link ConfigurationHolder}. */
 export type ConfigurationHolderOptions = {
   readonly read: ConfigurationReader;
-  /** Name of the object that holds the configuration. */
+  /** Name of the configuration's object in the store. */
   readonly objectName: string;
   readonly log: Log;
 };
 
-/** For how long keys may be honoured without a confirmation of the store. */
+/** Bounds on how long keys are accepted without a confirmation from the store. */
 export type KeyBounds = {
-  /** A key that was taken away is not honoured later than this, in milliseconds. */
+  /** Time within which a revoked key stops being accepted, in milliseconds. */
   readonly keyRevocationMs: number;
+  /** True if keys are rejected once the configuration is unconfirmed for too long. */
   readonly keysFailClosed: boolean;
 };
 
-/** Part of the revocation bound that is left for requests already in progress, in milliseconds. */
+/** Part of the revocation bound reserved for requests already in progress, in milliseconds. */
 const KEY_MARGIN_MS = 500;
 
-/** Keeps the newest version that was ever seen; nothing older is applied after it. */
+/** Keeps the newest configuration version received so far; an older one is never applied after it. */
 export class ConfigurationHolder {
   readonly #options: ConfigurationHolderOptions;
   #table: RouteTable | undefined;
@@ -38,22 +39,22 @@
     this.#options = options;
   }
 
-  /** Routes in force; undefined until the first configuration has come. */
+  /** Routes in force; undefined until the first configuration has been received. */
   get table(): RouteTable | undefined {
     return this.#table;
   }
 
-  /** Milliseconds since the store was last asked a question that it has answered. */
+  /** Milliseconds since the latest request to the store that it has answered was sent. */
   get confirmationAgeMs(): number {
     return elapsedMs() - this.#confirmedAt;
   }
 
-  /** True while the configuration was confirmed recently enough to honour keys by it. */
+  /** True while the configuration is confirmed recently enough to accept the keys in it. */
   keysHold({ keyRevocationMs, keysFailClosed }: KeyBounds): boolean {
     return !keysFailClosed || this.confirmationAgeMs < keyRevocationMs - KEY_MARGIN_MS;
   }
 
-  /** Takes the whole list. */
+  /** Applies the configuration from a list of all objects. */
   takeList(list: ObjectList): void {
     const object = list.objects.find(candidate => candidate.name === this.#options.objectName);
     if (object !== undefined) {
@@ -61,7 +62,7 @@
     }
   }
 
-  /** Takes changes, in the order in which they were made. */
+  /** Applies the changes to the configuration, in the order in which they were made. */
   takeChanges(changes: readonly ObjectChange[]): void {
     for (const { object, deleted } of changes) {
       if (!deleted && object.name === this.#options.objectName) {
@@ -70,12 +71,15 @@
     }
   }
 
-  /** The store has answered a question that was sent at `sentAt` (milliseconds that count suspensions). */
+  /** Records that the store has answered a request sent at `sentAt` (ms, on a clock that includes suspensions). */
   confirm(sentAt: number): void {
     this.#confirmedAt = Math.max(this.#confirmedAt, sentAt);
   }
 
-  /** True where a state of the configuration's object has at least the version of another; for `WatchedKind`. */
+  /**
+   * Compares two states of the configuration's object for `WatchedKind`: true if the listed one has at least the version
+   * of the known one; undefined for other objects or if either cannot be read.
+   */
   readonly isLater: StateOrder = (listed, known) => {
     if (listed.name !== this.#options.objectName) {
       return undefined;
@@ -89,7 +93,7 @@
     try {
       return this.#options.read(object.value).version;
     } catch {
-      // Logged where it is applied.
+      // The error is logged when the object is applied.
       return undefined;
     }
   }
--- a/packages/entry/src/configuration/route-table.ts
+++ b/packages/entry/src/configuration/route-table.ts
@@ -1,4 +1,4 @@
-/** Finds routes, services and workspaces of one configuration. */
+/** Looks up routes, services and workspaces of one configuration. */
 import type {
   CallerLimits,
   Route,
@@ -7,11 +7,11 @@
   Workspace,
 } from './serving-configuration.js';
 
-/** One configuration, indexed for requests. Immutable. */
+/** One configuration, indexed by host name, service name and key. Immutable. */
 export class RouteTable {
   readonly version: number;
   readonly limits: CallerLimits;
-  /** False where no workspaces are declared: then no route needs a key. */
+  /** False if no workspaces are declared: then no route requires a key. */
   readonly keysRequired: boolean;
   readonly #routesByHost = new Map<string, Route[]>();
   readonly #services = new Map<string, Service>();
@@ -40,36 +40,36 @@
     }
   }
 
-  /** All services. */
+  /** All services of the configuration. */
   get services(): readonly Service[] {
     return [...this.#services.values()];
   }
 
-  /** The route with the longest prefix that begins the path. */
+  /** Returns the route of the host name with the longest prefix that matches the path. */
   routeOf(hostHeader: string, url: string): Route | undefined {
     const host = withoutPort(hostHeader).toLowerCase();
     const path = pathOf(url);
     return this.#routesByHost.get(host)?.find(route => path.startsWith(route.pathPrefix));
   }
 
-  /** A service by its name. */
+  /** Returns a service by its name. */
   service(name: string): Service | undefined {
     return this.#services.get(name);
   }
 
-  /** The workspace that holds a key. */
+  /** Returns the workspace that a key belongs to. */
   workspaceOf(key: string): Workspace | undefined {
     return this.#workspaces.get(key);
   }
 }
 
-/** Picks a service by weight; `draw` is uniform in [0, 1). */
+/** Picks one of the route's services at random by weight; `draw` is a random number, uniform in [0, 1). */
 export function pickService(route: Route, draw: number): string | undefined {
   const total = route.targets.reduce((sum, target) => sum + target.weight, 0);
-  let rest = draw * total;
+  let remaining = draw * total;
   for (const target of route.targets) {
-    rest -= target.weight;
-    if (rest < 0) {
+    remaining -= target.weight;
+    if (remaining < 0) {
       return target.service;
     }
   }
--- a/packages/entry/src/configuration/serving-configuration.ts
+++ b/packages/entry/src/configuration/serving-configuration.ts
@@ -1,96 +1,96 @@
-/** What operators declare for the entry hosts: routes, services, workspaces and limits. */
+/** Configuration that operators declare for the entry hosts: routes, services, workspaces and limits. */
 
-/** What may be repeated: streams and idempotent calls after any loss, the others never. */
+/** Kind of a route, which decides on retries: streams and idempotent calls after any failure, others never. */
 export type RouteKind = 'stream' | 'idempotent' | 'non-idempotent';
 
-/** A service that takes a share of a route's requests. */
+/** A service that receives a share of a route's requests, in proportion to its weight. */
 export type WeightedService = {
   readonly service: string;
   readonly weight: number;
 };
 
-/** A route: requests of one host name and path prefix. */
+/** Rules for requests with one host name and path prefix. */
 export type Route = {
   readonly name: string;
   readonly host: string;
   readonly pathPrefix: string;
   readonly kind: RouteKind;
-  /** A broken stream may go on elsewhere behind its last event. */
+  /** True if a broken stream may be resumed on another host after its last event. */
   readonly resumable: boolean;
-  /** Longest time a request may be held, in milliseconds. */
+  /** Maximum time for a request, in milliseconds. */
   readonly timeoutMs: number;
-  /** Latency objective: to the first event or to the whole answer, in milliseconds. */
+  /** Latency objective: time to the first event or to the complete answer, in milliseconds. */
   readonly objectiveMs: number;
-  /** Longest pause between two events, in milliseconds. */
+  /** Objective for the longest pause between two events, in milliseconds. */
   readonly gapTargetMs: number;
-  /** Rank, 0 first. */
+  /** Priority; 0 is the highest. */
   readonly priority: number;
   readonly targets: readonly WeightedService[];
-  /** Most hosts that one request may be sent to. */
+  /** Maximum number of hosts that one request may be sent to. */
   readonly maxAttempts: number;
-  /** Needs no key. */
+  /** True if requests require no key. */
   readonly isPublic: boolean;
-  /** Regions whose hosts may run its requests; empty: any. */
+  /** Regions whose hosts may run the requests; all regions if empty. */
   readonly homeRegions: readonly string[];
 };
 
-/** A model that a service's hosts can form groups for. */
+/** A model that hosts of a service can form replica groups for. */
 export type GroupModel = {
   readonly name: string;
-  /** Hosts of a replica group. */
+  /** Number of hosts in a replica group. */
   readonly size: number;
-  /** Factor on all times of the engine. */
+  /** Factor on all processing times of the engine. */
   readonly pace: number;
-  /** Part of the service's requests, 0 to 1. */
+  /** The model's share of the service's requests, 0 to 1. */
   readonly workShare: number;
-  /** Time of a load from the weight store, in milliseconds. */
+  /** Duration of a load from the weight store, in milliseconds. */
   readonly loadMs: number;
-  /** Time of a load from the host's own copy, in milliseconds. */
+  /** Duration of a load from the host's local copy, in milliseconds. */
   readonly warmMs: number;
 };
 
-/** What is known of a service's model engines. */
+/** Models and capacity of a service's engines. */
 export type EngineProfile = {
   readonly models: readonly GroupModel[];
-  /** Requests that a group runs at once. */
+  /** Number of requests that a group runs concurrently. */
   readonly slots: number;
-  /** Loads from the weight store that may begin in a second. */
+  /** Number of loads from the weight store that may start per second. */
   readonly loadsPerSecond: number;
-  /** Loads that run at full speed side by side. */
+  /** Number of concurrent loads that still run at full speed. */
   readonly loadsAtOnce: number;
-  /** Models whose weights a host keeps; staging one more evicts the oldest. */
+  /** Number of models whose weights a host keeps; staging another one evicts the oldest. */
   readonly stagedModelsKept: number;
 };
 
-/** Rate limit of hosts that have started a moment ago, in their caches and connections still cold. */
+/** Rate limit of hosts that have just started, while their caches and connections are cold. */
 export type SlowStart = {
-  /** Requests a second that a cold host can handle. */
+  /** Requests per second that a cold host can handle. */
   readonly requestsPerSecond: number;
-  /** Time for which a host usually stays cold, in milliseconds. */
+  /** Usual time until a cold host is warm, in milliseconds. */
   readonly coldMs: number;
 };
 
-/** A service: hosts that answer the same requests. */
+/** A set of hosts that answer the same requests. */
 export type Service = {
   readonly name: string;
-  /** Connections a host accepts from all entry hosts together. */
+  /** Number of connections that a host accepts from all entry hosts together. */
   readonly maxConnections: number;
-  /** Undefined where a host takes its full rate from the start. */
+  /** Undefined if a host handles its full rate from the start. */
   readonly slowStart: SlowStart | undefined;
-  /** Present where the hosts are model engines that form groups. */
+  /** Defined if the hosts are model engines that form replica groups. */
   readonly engine: EngineProfile | undefined;
 };
 
-/** A workspace with the keys of its callers. */
+/** A workspace and the keys of its callers. */
 export type Workspace = {
   readonly name: string;
   readonly keys: readonly string[];
   readonly priority: number | undefined;
-  /** Regions whose hosts may run its requests, beside those of the route; empty: any. */
+  /** Regions whose hosts may run its requests, as a restriction in addition to the route's; all if empty. */
   readonly homeRegions: readonly string[];
 };
 
-/** Bounds on what a caller may send, and on how long it may stay idle. */
+/** Size limits for requests of callers (bytes), and timeouts of their connections (milliseconds). */
 export type CallerLimits = {
   readonly maxHeaderBytes: number;
   readonly maxBodyBytes: number;
@@ -98,12 +98,12 @@
   readonly idleTimeoutMs: number;
 };
 
-/** One version of the configuration, whole. */
+/** One complete version of the configuration. */
 export type ServingConfiguration = {
   readonly version: number;
   readonly routes: readonly Route[];
   readonly services: readonly Service[];
-  /** Absent where no route needs a key. */
+  /** Undefined if no route requires a key. */
   readonly workspaces: readonly Workspace[] | undefined;
   readonly limits: CallerLimits;
 };
--- a/packages/entry/src/evacuation/evacuated-domains.ts
+++ b/packages/entry/src/evacuation/evacuated-domains.ts
@@ -1,9 +1,9 @@
 /**
- * The failure domains that operators have evacuated, as this entry host knows them.
+ * Evacuated failure domains, as known to this entry host.
  *
- * Each is an object in the store, followed like the configuration through the same chain of entry
- * hosts. What is known holds until a newer revision of the store says otherwise: an entry host that
- * reaches neither store nor peers goes on observing the evacuations that it knows.
+ * Each evacuation is an object in the store, watched like the configuration through the same chain of entry hosts. The
+ * known state applies until a newer revision of the store replaces it: an entry host that can reach neither the store
+ * nor peers keeps applying the evacuations that it knows.
  */
 import { isLaterRevision } from '@hingescale/core';
 
@@ -17,17 +17,17 @@
 /** One evacuated failure domain. */
 export type Evacuation = {
   readonly failureDomain: string;
-  /** Revision of the store at which it was ordered. */
+  /** Revision of the store at which the evacuation was ordered. */
   readonly revision: number;
-  /** When this entry host learned of it, in monotonic milliseconds. */
+  /** When this entry host received that revision, in monotonic milliseconds. */
   readonly since: number;
 };
 
-/** Options of the evacuated domains. */
+/** Options of {@link EvacuatedDomains}. */
 export type EvacuatedDomainsOptions = {
-  /** False where settings have no bound for evacuations: then none is ever in force. */
+  /** False if the settings have no bound for evacuations: then no evacuation is ever in force. */
   readonly isFollowed: boolean;
-  /** An evacuation has ended, as of a revision of the store; hosts of the failure domain may be cold. */
+  /** Called when an evacuation has ended, as of a store revision; hosts of the failure domain may be cold. */
   readonly ended: (failureDomain: string, revision: number) => void;
   readonly gauges: Gauges;
   readonly log: Log;
@@ -35,7 +35,7 @@
 
 const MS_PER_S = 1_000;
 
-/** Keeps the evacuations. */
+/** Keeps the evacuations in force and reports when one ends. */
 export class EvacuatedDomains implements EvacuationFacts {
   readonly #options: EvacuatedDomainsOptions;
   readonly #evacuations = new Map<string, Evacuation>();
@@ -55,7 +55,7 @@
     ]);
   }
 
-  /** True once a whole list was read, or from the start where evacuations are not followed. */
+  /** True once a complete list was received, or from the start if evacuations are not watched. */
   get isKnown(): boolean {
     return this.#isKnown;
   }
@@ -65,23 +65,23 @@
     return [...this.#evacuations.values()];
   }
 
-  /** True while nothing new may be sent to hosts of the failure domain. */
+  /** True while no new requests may be sent to hosts of the failure domain. */
   readonly isEvacuated = (failureDomain: string): boolean => this.#evacuations.has(failureDomain);
 
-  /** Takes what the watch of the store's objects reads. */
+  /** Observer for the watch of the evacuation objects in the store. */
   get observer(): KindObserver {
     return {
       listed: list => {
-        this.#takeList(list);
+        this.#applyList(list);
       },
       changed: changes => {
-        this.#takeChanges(changes);
+        this.#applyChanges(changes);
       },
       confirmed: () => undefined,
     };
   }
 
-  #takeList({ objects, revision }: ObjectList): void {
+  #applyList({ objects, revision }: ObjectList): void {
     this.#isKnown = true;
     const listed = new Set(objects.map(object => object.name));
     for (const failureDomain of [...this.#evacuations.keys()]) {
@@ -94,7 +94,7 @@
     });
   }
 
-  #takeChanges(changes: readonly ObjectChange[]): void {
+  #applyChanges(changes: readonly ObjectChange[]): void {
     for (const { object, deleted } of changes) {
       if (deleted) {
         this.#end(object.name, object.revision);
@@ -104,9 +104,8 @@
     }
   }
 
-  // An object that is newer than the known one was written again, or was removed and created anew in
-  // between: peers pass on the newest change only. This host has sent nothing there meanwhile, so for it
-  // the evacuation has not ended.
+  // An object that is newer than the known one was rewritten, or was removed and created again in between: peers relay
+  // only the newest change. This entry host has sent nothing there meanwhile, so for it the evacuation has not ended.
   #begin(failureDomain: string, revision: number): void {
     const known = this.#evacuations.get(failureDomain);
     if (known !== undefined && !isLaterRevision(revision, known.revision)) {
@@ -118,7 +117,7 @@
     this.#options.log.info(message, { failureDomain, revision });
   }
 
-  // Reported also for an evacuation whose beginning this host has missed: its hosts may be cold too.
+  // Also reports the end of an evacuation whose start this entry host has missed: the hosts there may be cold, too.
   #end(failureDomain: string, revision: number): void {
     const known = this.#evacuations.get(failureDomain);
     this.#evacuations.delete(failureDomain);
--- a/packages/entry/src/rate-limits/combined-pace.ts
+++ b/packages/entry/src/rate-limits/combined-pace.ts
@@ -1,22 +1,22 @@
-/** Several limits on the rate of sends to one host: the least allowance decides. Pure. */
+/** Combines several rate limits on sends to one host: the smallest allowance decides. Pure functions. */
 import type { HostEntry } from '../hosts/host-entry.js';
 import type { PacedSends, SendPace } from './paced-sends.js';
 
-/** When requests may be sent to the host; undefined where this entry host has no turns there, and without a limit. */
+/** Pace of sends to the host; undefined without a limit or if this entry host owns no share of the rate. */
 export function combinedPace(
   paces: readonly PacedSends[],
   host: HostEntry,
   now: number,
 ): SendPace | undefined {
   const nextInMs = Math.max(...paces.map(pace => pace.nextRoomInMs(host, now)));
-  const own = paces.flatMap(pace => pace.paceOf(host, now) ?? []);
-  if (own.length === 0 || nextInMs === Infinity) {
+  const ownPaces = paces.flatMap(pace => pace.paceOf(host, now) ?? []);
+  if (ownPaces.length === 0 || nextInMs === Infinity) {
     return undefined;
   }
-  return { nextInMs, intervalMs: Math.max(...own.map(({ intervalMs }) => intervalMs)) };
+  return { nextInMs, intervalMs: Math.max(...ownPaces.map(({ intervalMs }) => intervalMs)) };
 }
 
-/** Milliseconds until the host takes one more request of any entry host; 0 without a limit. */
+/** Milliseconds until any entry host may send the host a request; 0 without a limit. */
 export function combinedPlaceInMs(
   paces: readonly PacedSends[],
   host: HostEntry,
--- a/packages/entry/src/rate-limits/known-limit.ts
+++ b/packages/entry/src/rate-limits/known-limit.ts
@@ -1,4 +1,4 @@
-/** What an entry host knows of the limit of one start of a host. Pure; times in monotonic milliseconds. */
+/** Known rate limit of one host incarnation at an entry host. Pure functions; times in monotonic milliseconds. */
 import type { HostIncarnation } from '../hosts/host-entry.js';
 import type { LimitReport } from './limit-report.js';
 import type { LimitWord } from './limit-word.js';
@@ -6,77 +6,78 @@
 import type { SendBound } from './paced-sends.js';
 import type { RateLimit } from './rate-share.js';
 
-/** What is known. */
+/** Known state of the rate limit of one host incarnation. */
 export type KnownLimit = {
   readonly host: HostIncarnation;
-  /** The word that holds. */
+  /** The current observation. */
   readonly word: LimitWord;
-  /** The limit that it names, or that was named last where it names none. */
+  /** Requests per second: the current limit or, after it has ended, the last one. */
   readonly perSecond: number;
-  /** Since when it has been limited without a break, as far as is known here. */
+  /** When this entry host learned of the current uninterrupted period of limits. */
   readonly since: number;
-  /** Until when the limit is kept; Infinity while the host names one. */
+  /** Until when this entry host applies the limit; Infinity while the host has one. */
   readonly until: number;
-  /** When an answer to any entry host last named a limit. */
+  /** When an answer to any entry host last contained a limit. */
   readonly confirmedAt: number;
-  /** The turn of the owners of whom one was answered then. */
+  /** Turn number of the owners, one of which received that answer. */
   readonly turn: number;
 };
 
-/** A word, with what it says of the owners. */
-type Heard = Pick<KnownLimit, 'host' | 'word' | 'confirmedAt' | 'turn'>;
+/** An observation, with the confirmation of the limit that came with it. */
+type ConfirmedObservation = Pick<KnownLimit, 'host' | 'word' | 'confirmedAt' | 'turn'>;
 
-/** When something is heard, and chance. */
+/** Time of an update, and a source of random numbers. */
 export type Moment = {
   readonly now: number;
   /** Uniform in [0, 1). */
   readonly random: () => number;
 };
 
-/** What a platform allows a host that has named a limit. */
+/** Configured bounds on the requests that a host with a rate limit may receive. */
 export type LimitBounds = {
-  /** Length of the windows in which arrivals are counted, in milliseconds. */
+  /** Length of the windows in which arriving requests are counted, in milliseconds. */
   readonly limitWindowMs: number;
-  /** Arrivals in a window that are allowed, as a multiple of what the limit gives. */
+  /** Most requests that may arrive in a window, as a multiple of the limit. */
   readonly limitOvershoot: number;
-  /** Arrivals in a window that are allowed in addition. */
+  /** Further requests that may arrive in a window. */
   readonly limitSlack: number;
 };
 
 /**
- * Least rate that is used, in requests a second: a host that names less, or that wants none at all, is asked by all
- * entry hosts together once in ten seconds whether its limit still holds, since only its answers tell.
+ * Minimum rate, in requests per second. A host with a lower limit, or with a limit of 0, still receives one request in
+ * ten seconds from all entry hosts together, since only its answers show whether the limit still applies.
  */
-const LEAST_PER_S = 0.1;
-/** Rate from which a limit limits nothing: hosts take some thousands of requests a second at most. */
+const MIN_RATE_PER_S = 0.1;
+/** Rate from which a limit has no effect: a host handles some thousands of requests per second at most. */
 const UNLIMITED_FROM_PER_S = 10_000;
 /**
- * Time without an answer that names the limit, after which the turn goes to the next owners, in milliseconds. The
- * former ones may have ended for good, be cut off from the host, or have no requests for it; then nobody would learn
- * that the limit has changed or ended. Long enough for an owner with few requests. The first of the next owners asks;
- * all of them may send only when it was answered, since the figure may have changed meanwhile.
+ * Minimum time without an answer that contains the limit, in milliseconds, after which the turn passes to the next
+ * owners. The former owners may be removed, partitioned from the host, or without requests for it; then no entry host
+ * would learn that the limit has changed or ended. The time suffices for an owner with few requests. The first of the
+ * next owners sends a probe; the others may send only once it is answered, since the rate may have changed meanwhile.
  */
-const LEAST_TURN_MS = 10_000;
-/** The same as a number of intervals between two requests of all owners together, for very low limits. */
+const MIN_TURN_MS = 10_000;
+/** The same for very low limits, as a number of mean intervals between two requests of all owners together. */
 const TURN_INTERVALS = 3;
 /**
- * Time within which the entry hosts take up a host again that names no limit any more, each at a random moment, in
- * milliseconds: else all would send to the same idle host at the same moment.
+ * Time within which the entry hosts lift an ended limit, in milliseconds, each after a random delay: otherwise all of
+ * them would send to the same idle host at the same moment.
  */
 export const RETURN_SPREAD_MS = 1_000;
 /**
- * Entry hosts that others may not know of yet while the bound still holds for certain. A new one waits for longer than
- * its registration takes to all others before it sends, so that only those count that join behind a lost link.
+ * Number of entry hosts that may be missing from the member views of others without the bound being exceeded. A new
+ * entry host waits longer than its registration takes to reach all others before it sends, so only those count that
+ * join behind a lost link.
  */
 const TOLERATED_LAG = 2;
 const MS_PER_S = 1_000;
 
-/** True for a word that names a limit. */
+/** True for an observation of a limit that has an effect. */
 export function isLimiting({ perSecond }: LimitWord): boolean {
   return perSecond < UNLIMITED_FROM_PER_S;
 }
 
-/** What is known after one more word, told by the host itself; undefined: nothing that need be remembered. */
+/** Returns the state after one more answer of the host itself; undefined if there is nothing to remember. */
 export function afterWord(
   known: KnownLimit | undefined,
   host: HostIncarnation,
@@ -85,13 +86,13 @@
 ): KnownLimit | undefined {
   const turn = known === undefined ? 0 : turnOf(known, at.now);
   const confirmedAt = isLimiting(word) ? word.heardAt : -Infinity;
-  return after(known, { host, word, confirmedAt, turn }, at);
+  return updatedLimit(known, { host, word, confirmedAt, turn }, at);
 }
 
 /**
- * The same for a word that another entry host has told. Only where this one has asked for it, at `requestedAt`, is it
- * known how old it is at most. What comes unasked may have been on its way for any time, in a cut or a suspension: it
- * may begin a limit or lower it, but neither raise nor end it.
+ * Returns the state after a report from a peer. The maximum age of a report is known only if this entry host requested
+ * it, at `requestedAt`. An unrequested report may have been delayed for any time, by a partition or a suspension: it
+ * may begin or lower a limit, but neither raise nor end it.
  */
 export function afterReport(
   known: KnownLimit | undefined,
@@ -105,10 +106,10 @@
   const word = { perSecond, askedAt, heardAt: at.now - heardAgeMs };
   const confirmedAt = (requestedAt ?? at.now) - confirmedAgeMs;
   const turn = requestedAt === undefined ? (known?.turn ?? report.turn) : report.turn;
-  return after(known, { host, word, confirmedAt, turn }, at);
+  return updatedLimit(known, { host, word, confirmedAt, turn }, at);
 }
 
-/** True where a report that came unasked would say something else if it were asked for. */
+/** True if an unrequested report could raise or end the limit, or change the turn, once it is requested. */
 export function isWorthAsking(
   known: KnownLimit | undefined,
   report: LimitReport,
@@ -120,11 +121,11 @@
   const { perSecond = Infinity, askedAgeMs = Infinity, confirmedAgeMs, turn } = report;
   const mayBeNewer = now - askedAgeMs > known.word.heardAt;
   const isHigher = perSecond > known.word.perSecond;
-  const mayHaveTurn = turn !== known.turn && now - confirmedAgeMs > known.confirmedAt;
-  return (mayBeNewer && isHigher) || mayHaveTurn;
+  const mayHaveNewTurn = turn !== known.turn && now - confirmedAgeMs > known.confirmedAt;
+  return (mayBeNewer && isHigher) || mayHaveNewTurn;
 }
 
-/** What to tell other entry hosts. */
+/** Returns the report for peers. */
 export function reportOf({ host, word, confirmedAt, turn }: KnownLimit, now: number): LimitReport {
   const { id, startedAt } = host;
   return {
@@ -137,7 +138,7 @@
   };
 }
 
-/** The bound on what the host may be sent; undefined where it takes what comes. */
+/** Returns the bound on sends to the host; undefined while no limit is applied. */
 export function boundOf(
   known: KnownLimit,
   bounds: LimitBounds,
@@ -152,27 +153,27 @@
   return { since, until, limit: rateLimit(perSecond, bounds), turn, isProbing };
 }
 
-function after(
+function updatedLimit(
   known: KnownLimit | undefined,
-  { host, word, confirmedAt, turn }: Heard,
+  { host, word, confirmedAt, turn }: ConfirmedObservation,
   { now, random }: Moment,
 ): KnownLimit | undefined {
   if (known === undefined) {
     const { perSecond } = word;
-    const begun = { host, word, perSecond, since: now, until: Infinity, confirmedAt, turn };
-    return isLimiting(word) ? begun : undefined;
+    const initial = { host, word, perSecond, since: now, until: Infinity, confirmedAt, turn };
+    return isLimiting(word) ? initial : undefined;
   }
-  const held = holdingWord(known.word, word);
+  const current = holdingWord(known.word, word);
   const wasLimited = isLimiting(known.word);
   const confirmation =
     confirmedAt > known.confirmedAt ? { confirmedAt, turn } : { confirmedAt: known.confirmedAt };
-  if (isLimiting(held)) {
+  if (isLimiting(current)) {
     const since = wasLimited ? known.since : now;
-    const { perSecond } = held;
-    return { ...known, ...confirmation, word: held, perSecond, since, until: Infinity };
+    const { perSecond } = current;
+    return { ...known, ...confirmation, word: current, perSecond, since, until: Infinity };
   }
   const until = wasLimited ? now + random() * RETURN_SPREAD_MS : known.until;
-  return { ...known, ...confirmation, word: held, until };
+  return { ...known, ...confirmation, word: current, until };
 }
 
 function rateLimit(
@@ -182,14 +183,14 @@
   const windowS = windowMs / MS_PER_S;
   return {
     windowMs,
-    perWindow: Math.max(LEAST_PER_S, perSecond) * windowS,
+    perWindow: Math.max(MIN_RATE_PER_S, perSecond) * windowS,
     mostPerWindow: perSecond * windowS * limitOvershoot + limitSlack,
     toleratedLag: TOLERATED_LAG,
   };
 }
 
 function turnOf({ perSecond, confirmedAt, turn }: KnownLimit, now: number): number {
-  const meanMs = MS_PER_S / Math.max(LEAST_PER_S, perSecond);
-  const turnMs = Math.max(LEAST_TURN_MS, TURN_INTERVALS * meanMs);
+  const meanIntervalMs = MS_PER_S / Math.max(MIN_RATE_PER_S, perSecond);
+  const turnMs = Math.max(MIN_TURN_MS, TURN_INTERVALS * meanIntervalMs);
   return turn + Math.max(0, Math.floor((now - confirmedAt) / turnMs));
 }
--- a/packages/entry/src/rate-limits/limit-report.ts
+++ b/packages/entry/src/rate-limits/limit-report.ts
@@ -1,17 +1,17 @@
-/** What entry hosts tell each other of the limits that hosts have named. */
+/** Message by which entry hosts share the rate limits that hosts have sent in their answers. */
 import type { HostIncarnation } from '../hosts/host-entry.js';
 
-/** The word of a host that holds, as one entry host knows it. */
+/** The current rate limit of a host, as last known to one entry host. */
 export type LimitReport = {
   readonly host: HostIncarnation;
-  /** Requests a second from all entry hosts together; undefined: it names no limit any more. */
+  /** Requests per second from all entry hosts together; undefined if the host has ended its limit. */
   readonly perSecond: number | undefined;
-  /** Time since the request was sent that the host answered with it, in milliseconds; undefined: not known. */
+  /** Time since the request was sent that the host answered with this limit, in ms; undefined if unknown. */
   readonly askedAgeMs: number | undefined;
-  /** Time since the answer came. */
+  /** Time since that answer was received, in milliseconds. */
   readonly heardAgeMs: number;
-  /** Time since an answer last named any limit. */
+  /** Time since an answer last contained any limit, in milliseconds. */
   readonly confirmedAgeMs: number;
-  /** The turn of the owners that send to the host (see `known-limit.ts`). */
+  /** Turn number of the owners that send to the host (see `known-limit.ts`). */
   readonly turn: number;
 };
--- a/packages/entry/src/rate-limits/limit-word.test.ts
+++ b/packages/entry/src/rate-limits/limit-word.test.ts
@@ -3,39 +3,39 @@
 import type { LimitWord } from './limit-word.js';
 import { holdingWord } from './limit-word.js';
 
-const word = (perSecond: number, askedAt: number, heardAt: number): LimitWord => ({
+const observation = (perSecond: number, askedAt: number, heardAt: number): LimitWord => ({
   perSecond,
   askedAt,
   heardAt,
 });
 
-describe('of two words of a host', () => {
-  it('the one holds whose request was sent after the other was heard, in whichever order they come', () => {
-    const earlier = word(1, 100, 200);
-    const later = word(Infinity, 201, 300);
+describe('the current one of two limit observations', () => {
+  it('is the one whose request was sent after the other answer was received, in either order', () => {
+    const earlier = observation(1, 100, 200);
+    const later = observation(Infinity, 201, 300);
     expect(holdingWord(earlier, later)).to.equal(later);
     expect(holdingWord(later, earlier)).to.equal(later);
   });
 
-  it('the stricter one holds where either may be the newer', () => {
-    const strict = word(1, 100, 200);
-    const weak = word(5, 150, 250);
-    expect(holdingWord(strict, weak)).to.equal(strict);
-    expect(holdingWord(weak, strict)).to.equal(strict);
+  it('is the one with the lower limit if either may be newer', () => {
+    const low = observation(1, 100, 200);
+    const high = observation(5, 150, 250);
+    expect(holdingWord(low, high)).to.equal(low);
+    expect(holdingWord(high, low)).to.equal(low);
   });
 
-  it('that say the same, the later times hold', () => {
-    const one = word(1, -Infinity, 300);
-    const other = word(1, 100, 200);
-    expect(holdingWord(one, other)).to.deep.equal(word(1, 100, 300));
-    expect(holdingWord(other, one)).to.deep.equal(word(1, 100, 300));
+  it('has the later times of both if the limits are equal', () => {
+    const one = observation(1, -Infinity, 300);
+    const other = observation(1, 100, 200);
+    expect(holdingWord(one, other)).to.deep.equal(observation(1, 100, 300));
+    expect(holdingWord(other, one)).to.deep.equal(observation(1, 100, 300));
   });
 
-  it('a stricter one gives way to the first that is certainly newer, although answers overlap all the time', () => {
-    let held = word(1, 0, 100);
+  it('is the first certainly newer one, even if its limit is higher and answers overlap all the time', () => {
+    let current = observation(1, 0, 100);
     for (let at = 50; at < 200; at += 10) {
-      held = holdingWord(held, word(5, at, at + 100));
+      current = holdingWord(current, observation(5, at, at + 100));
     }
-    expect(held.perSecond).to.equal(5);
+    expect(current.perSecond).to.equal(5);
   });
 });
--- a/packages/entry/src/rate-limits/limit-word.ts
+++ b/packages/entry/src/rate-limits/limit-word.ts
@@ -1,18 +1,19 @@
-/** What a host has said of its limit with one answer, and which of two such words holds. Pure. */
+/** A host's rate limit as observed in one answer, and which of two such observations is current. Pure functions. */
 
-/** One word of a host. The host said it some time between the two times. */
+/** A rate limit observed in one answer. The host set it at some time between the two times. */
 export type LimitWord = {
-  /** Requests a second from all entry hosts together; Infinity: as many as come. */
+  /** Requests per second from all entry hosts together; Infinity without a limit. */
   readonly perSecond: number;
-  /** When the request was sent, in monotonic milliseconds of this process; -Infinity where that is not known. */
+  /** When the request was sent, in monotonic milliseconds of this process; -Infinity if unknown. */
   readonly askedAt: number;
-  /** When its answer began to arrive. */
+  /** When the answer began to arrive, in monotonic milliseconds of this process. */
   readonly heardAt: number;
 };
 
 /**
- * The word that holds: the newer one, and of two of which either may be newer the lower limit. Answers overtake each
- * other, so that a word is certainly newer only if its request was sent after the other one was heard.
+ * Returns the current one of two observations: the newer one or, if either may be newer, the one with the lower limit.
+ * Answers can overtake each other, so an observation is certainly newer only if its request was sent after the other
+ * one's answer was received.
  */
 export function holdingWord(known: LimitWord, next: LimitWord): LimitWord {
   if (next.askedAt > known.heardAt) {
@@ -25,6 +26,6 @@
     const askedAt = Math.max(known.askedAt, next.askedAt);
     return { ...next, askedAt, heardAt: Math.max(known.heardAt, next.heardAt) };
   }
-  // A weaker word does not extend the time of a stricter one, which else would hold for as long as answers overlap.
+  // A higher limit does not refresh the times of a lower one, which otherwise would stay in force while answers overlap.
   return next.perSecond < known.perSecond ? next : known;
 }
--- a/packages/entry/src/rate-limits/named-limits.test.ts
+++ b/packages/entry/src/rate-limits/named-limits.test.ts
@@ -9,7 +9,8 @@
 
 const HOST: HostIncarnation = { id: 'h', startedAt: 1 };
 
-class Subject {
+/** Rate limits of one entry host, with a simulated clock. */
+class TestEntry {
   now = 0;
   reported = 0;
   readonly lines: LogFields[] = [];
@@ -23,7 +24,7 @@
     now: () => this.now,
   });
 
-  hears(perSecond: number, askedAt = this.now, host = HOST): void {
+  receive(perSecond: number, askedAt = this.now, host = HOST): void {
     const isLimited = perSecond !== Infinity;
     this.limits.hear(
       host,
@@ -33,83 +34,83 @@
   }
 }
 
-describe('limits that hosts name', () => {
-  it('are told when they begin and end, with what was sent meanwhile', () => {
-    const subject = new Subject();
-    subject.now = 1_000;
-    subject.hears(1.5);
-    subject.hears(1.2);
-    expect(subject.limits.limited).to.equal(1);
-    subject.limits.noteSend(HOST);
-    subject.limits.noteSend({ id: 'other' });
-    subject.now = 9_000;
-    subject.hears(Infinity);
-    expect(subject.limits.limited).to.equal(0);
+describe('rate limits of hosts', () => {
+  it('are logged when they begin and end, with the number of requests sent in between', () => {
+    const entry = new TestEntry();
+    entry.now = 1_000;
+    entry.receive(1.5);
+    entry.receive(1.2);
+    expect(entry.limits.limited).to.equal(1);
+    entry.limits.noteSend(HOST);
+    entry.limits.noteSend({ id: 'other' });
+    entry.now = 9_000;
+    entry.receive(Infinity);
+    expect(entry.limits.limited).to.equal(0);
     const end = { host: 'h', forMs: 8_000, sent: 1 };
-    expect(subject.lines).to.deep.equal([
-      { message: 'host names a limit', host: 'h', perSecond: 1.5, source: 'own-answer' },
-      { message: 'host names no limit any more', ...end, source: 'own-answer' },
+    expect(entry.lines).to.deep.equal([
+      { message: 'host has set a rate limit', host: 'h', perSecond: 1.5, source: 'own-answer' },
+      { message: 'host has ended its rate limit', ...end, source: 'own-answer' },
     ]);
-    expect(subject.counters.value('sends_to_limited_hosts_total')).to.equal(1);
+    expect(entry.counters.value('sends_to_limited_hosts_total')).to.equal(1);
   });
 
-  it('do not end with an answer to a request that was sent before the limit was heard', () => {
-    const subject = new Subject();
-    subject.now = 1_000;
-    subject.hears(1);
-    subject.now = 1_100;
-    subject.hears(Infinity, 900);
-    expect(subject.limits.limited).to.equal(1);
-    subject.hears(Infinity, 1_050);
-    expect(subject.limits.limited).to.equal(0);
+  it('do not end with an answer to a request that was sent before the limit was received', () => {
+    const entry = new TestEntry();
+    entry.now = 1_000;
+    entry.receive(1);
+    entry.now = 1_100;
+    entry.receive(Infinity, 900);
+    expect(entry.limits.limited).to.equal(1);
+    entry.receive(Infinity, 1_050);
+    expect(entry.limits.limited).to.equal(0);
   });
 
-  it('are kept by start of the host, and nothing of hosts that name none', () => {
-    const subject = new Subject();
-    subject.hears(Infinity);
-    subject.hears(1, 0, { id: 'h', startedAt: 2 });
-    expect(subject.limits.limited).to.equal(1);
-    subject.now = 10;
-    subject.hears(Infinity);
-    expect(subject.limits.limited).to.equal(1);
-    expect(subject.lines).to.have.length(1);
+  it('are kept per host incarnation, and not for hosts without a limit', () => {
+    const entry = new TestEntry();
+    entry.receive(Infinity);
+    entry.receive(1, 0, { id: 'h', startedAt: 2 });
+    expect(entry.limits.limited).to.equal(1);
+    entry.now = 10;
+    entry.receive(Infinity);
+    expect(entry.limits.limited).to.equal(1);
+    expect(entry.lines).to.have.length(1);
   });
 
-  it('bind an entry host that heard of them from another one, and the end does when it was asked for', () => {
-    const [told, other] = [new Subject(), new Subject()];
-    told.now = 1_000;
-    told.hears(2);
+  it('apply to an entry host that received them from a peer, and end only with a requested report', () => {
+    const [informed, other] = [new TestEntry(), new TestEntry()];
+    informed.now = 1_000;
+    informed.receive(2);
     other.now = 50_000;
-    other.limits.take(told.limits.since(0));
+    other.limits.take(informed.limits.since(0));
     expect(other.limits.boundOf(HOST, other.now)?.limit.perWindow).to.equal(8);
     expect(other.reported).to.equal(1);
-    // What is known already is not passed on again.
-    other.limits.take(told.limits.since(0));
+    // A report that is already known is not reported again.
+    other.limits.take(informed.limits.since(0));
     expect(other.reported).to.equal(1);
-    const { sequence } = told.limits;
-    told.now = 5_000;
-    told.hears(Infinity);
+    const { sequence } = informed.limits;
+    informed.now = 5_000;
+    informed.receive(Infinity);
     other.now = 54_000;
-    const end = told.limits.since(sequence);
-    expect(other.limits.take(end), 'worth asking for').to.equal(true);
+    const end = informed.limits.since(sequence);
+    expect(other.limits.take(end), 'should be requested').to.equal(true);
     expect(other.limits.limited).to.equal(1);
     other.limits.take(end, other.now - 10);
     expect(other.limits.limited).to.equal(0);
     expect(other.limits.boundOf(HOST, other.now + RETURN_SPREAD_MS)).to.equal(undefined);
   });
 
-  it('are neither ended nor raised by what was on its way for long', () => {
-    const [early, late] = [new Subject(), new Subject()];
-    early.hears(1);
+  it('are neither ended nor raised by a report that was delayed', () => {
+    const [early, late] = [new TestEntry(), new TestEntry()];
+    early.receive(1);
     early.now = 1_000;
-    early.hears(Infinity);
+    early.receive(Infinity);
     const end = early.limits.since(0);
     late.now = 9_000;
-    late.hears(1);
+    late.receive(1);
     late.now = 9_500;
     late.limits.take(end);
     expect(late.limits.limited).to.equal(1);
-    // Asked for since, it is known to be older.
+    // A requested report has a known maximum age, which shows that this one is older.
     early.now = 10_000;
     late.now = 10_000;
     late.limits.take(early.limits.since(0), 9_990);
@@ -118,28 +119,28 @@
     expect(early.limits.limited).to.equal(1);
   });
 
-  it('go to the next owners when none of the former ones is answered, and stay there', () => {
-    const subject = new Subject();
-    subject.hears(1);
-    const turnAt = (now: number): number | undefined => subject.limits.boundOf(HOST, now)?.turn;
+  it('pass to the next owners if no former owner receives an answer, and stay with them', () => {
+    const entry = new TestEntry();
+    entry.receive(1);
+    const turnAt = (now: number): number | undefined => entry.limits.boundOf(HOST, now)?.turn;
     expect(turnAt(9_999)).to.equal(0);
     expect(turnAt(10_000)).to.equal(1);
     expect(turnAt(21_000)).to.equal(2);
-    subject.now = 22_000;
-    subject.hears(1);
+    entry.now = 22_000;
+    entry.receive(1);
     expect(turnAt(31_000)).to.equal(2);
-    const other = new Subject();
-    other.hears(1);
+    const other = new TestEntry();
+    other.receive(1);
     other.now = 22_000;
-    other.limits.take(subject.limits.since(0), 22_000);
+    other.limits.take(entry.limits.since(0), 22_000);
     expect(other.limits.boundOf(HOST, 22_000)?.turn).to.equal(2);
   });
 
-  it('of nothing at all, or of more than any host takes, are bounded by what can be used', () => {
-    const subject = new Subject();
-    subject.hears(0);
-    expect(subject.limits.boundOf(HOST, 0)?.limit).to.include({ perWindow: 0.4, mostPerWindow: 5 });
-    subject.hears(1e9, 1, { id: 'large' });
-    expect(subject.limits.boundOf({ id: 'large' }, 0)).to.equal(undefined);
+  it('of 0 are raised to the minimum rate, and above the rate of any host are ignored', () => {
+    const entry = new TestEntry();
+    entry.receive(0);
+    expect(entry.limits.boundOf(HOST, 0)?.limit).to.include({ perWindow: 0.4, mostPerWindow: 5 });
+    entry.receive(1e9, 1, { id: 'large' });
+    expect(entry.limits.boundOf({ id: 'large' }, 0)).to.equal(undefined);
   });
 });
--- a/packages/entry/src/rate-limits/named-limits.ts
+++ b/packages/entry/src/rate-limits/named-limits.ts
@@ -1,9 +1,9 @@
 /**
- * Keeps the limits that hosts have named, to this entry host or to others: requests a second from all entry hosts
- * together, by start of the host, until an answer without a limit.
+ * Keeps the rate limits that hosts have sent in answers to this entry host or to its peers: requests per second from
+ * all entry hosts together. A limit is kept per host incarnation until an answer without a limit is received.
  *
- * A limit for all binds each of them, so each has to know of it: whoever hears a host's word tells the others, and an
- * entry host that has not been told by the host itself keeps to the limit as well.
+ * Since a limit applies to all entry hosts together, each of them has to know it: an entry host that receives a limit
+ * reports it to its peers, and they apply it without an answer of their own from the host.
  */
 import type { HostIncarnation } from '../hosts/host-entry.js';
 import { StartMemory } from '../hosts/start-memory.js';
@@ -23,11 +23,11 @@
 import type { LimitReport } from './limit-report.js';
 import type { SendBound } from './paced-sends.js';
 
-/** Options of {@link NamedLimits}. */
+/** Options of the rate limits of hosts. */
 export type NamedLimitsOptions = {
-  /** Asked anew each time, since settings may change. */
+  /** Called at each use, since settings may change. */
   readonly bounds: () => LimitBounds;
-  /** Called when there is something to tell other entry hosts. */
+  /** Called when there is a change to report to peers. */
   readonly reported: () => void;
   readonly log: Log;
   readonly counters: Counters;
@@ -37,36 +37,37 @@
   readonly random?: () => number;
 };
 
-/** What is known of one start of a host, and what of it was told. */
-type Kept = {
+/** Known state of one host incarnation, and the state last reported to peers. */
+type LimitRecord = {
   readonly known: KnownLimit;
-  readonly told: KnownLimit;
-  /** Number of the change that other entry hosts were told last. */
+  readonly reported: KnownLimit;
+  /** Sequence number of the change that was last reported to peers. */
   readonly sequence: number;
-  /** Requests that this entry host has written to it since it is limited. */
+  /** Requests claimed by this entry host for the host since the limit began. */
   readonly sent: number;
 };
 
 /**
- * Time after which it is told again that a limit still holds, in milliseconds: a third of the time after which others
- * take the owners for gone.
+ * Interval at which a limit that still applies is reported again, in milliseconds: about a third of the time after
+ * which the turn passes to the next owners.
  */
 const REFRESH_MS = 3_000;
-/** Change of a limit that is told at once, as a part of it, 0 to 1: a host may name another figure with each answer. */
-const TOLD_CHANGE = 0.1;
+/** Least relative change (0 to 1) that is reported at once: a host may send another limit with each answer. */
+const REPORTED_CHANGE = 0.1;
 /**
- * Time for which an end is told again with each later answer that shows it, in milliseconds, and least time between
- * two of these. An entry host that heard of the limit last believes the end only if it was asked about after that.
+ * Time for which the end of a limit is reported again after later answers that confirm it, in milliseconds, and the
+ * minimum interval between two of these reports. The peer that received the limit last accepts the end only from an
+ * answer to a request that was sent after that.
  */
 const END_REPEATED_MS = 3_000;
-const END_PERIOD_MS = 800;
-/** Time for which an ended limit is told to entry hosts that come into reach, in milliseconds. */
-const END_TOLD_MS = 600_000;
+const END_REPEAT_INTERVAL_MS = 800;
+/** Time for which an ended limit is reported to peers that become reachable, in milliseconds. */
+const END_REPORTED_MS = 600_000;
 
-/** The limits of hosts. */
+/** Rate limits of hosts, kept until they end and shared with the peers. */
 export class NamedLimits {
   readonly #options: NamedLimitsOptions;
-  readonly #kept = new StartMemory<Kept>();
+  readonly #records = new StartMemory<LimitRecord>();
   #sequence = 0;
 
   constructor(options: NamedLimitsOptions) {
@@ -74,29 +75,31 @@
     options.gauges.follow('hosts_limited', () => [{ labels: {}, value: this.limited }]);
   }
 
-  /** Hosts that have named a limit within the last minutes, and none without one since. */
+  /** Number of hosts that have a limit which an answer has confirmed within the last ten minutes. */
   get limited(): number {
-    const from = this.#options.now() - END_TOLD_MS;
-    const isLimited = ({ known }: Kept): boolean =>
+    const from = this.#options.now() - END_REPORTED_MS;
+    const isLimited = ({ known }: LimitRecord): boolean =>
       isLimiting(known.word) && known.confirmedAt >= from;
-    return this.#kept.values.filter(isLimited).length;
+    return this.#records.values.filter(isLimited).length;
   }
 
-  /** Number of the newest change that other entry hosts should know. */
+  /** Sequence number of the newest change to report. */
   get sequence(): number {
     return this.#sequence;
   }
 
-  /** The changes after a number that other entry hosts should know; all, if the number is not reached yet. */
+  /** Returns reports of the changes after a sequence number; of all if that number is not reached yet. */
   since(sequence: number): readonly LimitReport[] {
     const after = sequence > this.#sequence ? 0 : sequence;
     const now = this.#options.now();
-    return this.#kept.values
-      .filter(kept => kept.sequence > after && now - kept.known.word.heardAt < END_TOLD_MS)
+    return this.#records.values
+      .filter(
+        record => record.sequence > after && now - record.known.word.heardAt < END_REPORTED_MS,
+      )
       .map(({ known }) => reportOf(known, now));
   }
 
-  /** An answer to a request that was sent at `askedAt` says something of the limit of its host. */
+  /** Receives the limit notice of an answer; its request was sent at `askedAt`, in monotonic milliseconds. */
   hear(host: HostIncarnation, notice: LimitNotice, askedAt: number): void {
     if (notice.kind === 'untold') {
       return;
@@ -108,48 +111,48 @@
     }
     const { now, random } = this.#moment();
     const word = { perSecond: isLimited ? notice.perSecond : Infinity, askedAt, heardAt: now };
-    const before = this.#kept.get(host);
-    this.#keep(before, afterWord(before?.known, host, word, { now, random }), 'own-answer');
+    const before = this.#records.get(host);
+    this.#update(before, afterWord(before?.known, host, word, { now, random }), 'own-answer');
   }
 
   /**
-   * Another entry host has told of limits, unasked where `requestedAt` is left out. True: it should be asked, since what
-   * came unasked may be too old to be believed.
+   * Receives reports from a peer; `requestedAt` is absent for unrequested reports. Returns true if the reports should
+   * be requested from the peer, since unrequested ones may be too old to be applied in full.
    */
   readonly take = (reports: readonly LimitReport[], requestedAt?: number): boolean => {
-    let isWorthIt = false;
+    let shouldRequest = false;
     for (const report of reports) {
-      const before = this.#kept.get(report.host);
+      const before = this.#records.get(report.host);
       const moment = this.#moment();
-      isWorthIt ||= isWorthAsking(before?.known, report, moment.now);
+      shouldRequest ||= isWorthAsking(before?.known, report, moment.now);
       const known = afterReport(before?.known, report, moment, requestedAt);
-      this.#keep(before, known, 'other-entry-host');
+      this.#update(before, known, 'other-entry-host');
     }
-    return isWorthIt && requestedAt === undefined;
+    return shouldRequest && requestedAt === undefined;
   };
 
-  /** The bound on what all entry hosts together may send the host; undefined where it takes what comes. */
+  /** Bound on what all entry hosts together may send to the host; undefined without a limit. */
   readonly boundOf = (host: HostIncarnation, now: number): SendBound | undefined => {
-    // Asked of each target for each request, and nearly always there is none.
-    if (this.#kept.size === 0) {
+    // Called for each target of each request; nearly always there are no limits.
+    if (this.#records.size === 0) {
       return undefined;
     }
-    const kept = this.#kept.get(host);
-    return kept && boundOf(kept.known, this.#options.bounds(), now);
+    const record = this.#records.get(host);
+    return record && boundOf(record.known, this.#options.bounds(), now);
   };
 
-  /** The limit that the host names; undefined while it names none. */
+  /** The host's current limit, in requests per second; undefined without a limit. */
   perSecondOf(host: HostIncarnation): number | undefined {
-    const known = this.#kept.size === 0 ? undefined : this.#kept.get(host)?.known;
+    const known = this.#records.size === 0 ? undefined : this.#records.get(host)?.known;
     return known !== undefined && isLimiting(known.word) ? known.perSecond : undefined;
   }
 
-  /** A request has been claimed for a limited host. */
+  /** Counts a request that was claimed for a host with a limit. */
   readonly noteSend = (host: HostIncarnation): void => {
-    const kept = this.#kept.get(host);
-    if (kept !== undefined) {
+    const record = this.#records.get(host);
+    if (record !== undefined) {
       this.#options.counters.count('sends_to_limited_hosts_total');
-      this.#kept.set(host, { ...kept, sent: kept.sent + 1 });
+      this.#records.set(host, { ...record, sent: record.sent + 1 });
     }
   };
 
@@ -158,45 +161,49 @@
     return { now: now(), random };
   }
 
-  #keep(before: Kept | undefined, known: KnownLimit | undefined, source: WordSource): void {
+  #update(
+    before: LimitRecord | undefined,
+    known: KnownLimit | undefined,
+    source: WordSource,
+  ): void {
     if (known === undefined) {
       return;
     }
-    const isNews = before === undefined || isWorthTelling(before.told, known);
-    const sequence = isNews ? this.#sequence + 1 : before.sequence;
-    const told = isNews ? known : before.told;
+    const isToReport = before === undefined || shouldReport(before.reported, known);
+    const sequence = isToReport ? this.#sequence + 1 : before.sequence;
+    const reported = isToReport ? known : before.reported;
     const sent = this.#logChange(before, known, source) ? 0 : (before?.sent ?? 0);
-    this.#kept.set(known.host, { known, told, sequence, sent });
-    if (isNews) {
+    this.#records.set(known.host, { known, reported, sequence, sent });
+    if (isToReport) {
       this.#sequence = sequence;
       this.#options.reported();
     }
   }
 
-  // True when the host begins or ends to be limited.
-  #logChange(before: Kept | undefined, known: KnownLimit, source: WordSource): boolean {
+  // Returns true if a limit of the host begins or ends.
+  #logChange(before: LimitRecord | undefined, known: KnownLimit, source: WordSource): boolean {
     const { log, now } = this.#options;
     const isLimited = isLimiting(known.word);
     const wasLimited = before !== undefined && isLimiting(before.known.word);
     const { id: host } = known.host;
     if (isLimited && !wasLimited) {
-      log.info('host names a limit', { host, perSecond: known.perSecond, source });
+      log.info('host has set a rate limit', { host, perSecond: known.perSecond, source });
     }
     if (wasLimited && !isLimited) {
       const forMs = Math.round(now() - known.since);
-      log.info('host names no limit any more', { host, forMs, sent: before.sent, source });
+      log.info('host has ended its rate limit', { host, forMs, sent: before.sent, source });
     }
     return isLimited !== wasLimited;
   }
 }
 
-function isWorthTelling(told: KnownLimit, known: KnownLimit): boolean {
-  const isOtherKind = isLimiting(told.word) !== isLimiting(known.word);
-  const change = Math.abs(told.perSecond - known.perSecond);
-  const isOtherFigure = change > TOLD_CHANGE * told.perSecond;
-  const isOld = known.confirmedAt - told.confirmedAt >= REFRESH_MS;
+function shouldReport(reported: KnownLimit, known: KnownLimit): boolean {
+  const isTransition = isLimiting(reported.word) !== isLimiting(known.word);
+  const change = Math.abs(reported.perSecond - known.perSecond);
+  const hasChanged = change > REPORTED_CHANGE * reported.perSecond;
+  const isRefreshDue = known.confirmedAt - reported.confirmedAt >= REFRESH_MS;
   const isEndConfirmed =
-    known.word.askedAt - told.word.askedAt >= END_PERIOD_MS &&
+    known.word.askedAt - reported.word.askedAt >= END_REPEAT_INTERVAL_MS &&
     known.word.heardAt < known.until + END_REPEATED_MS;
-  return isOtherKind || isOtherFigure || isOld || (!isLimiting(known.word) && isEndConfirmed);
+  return isTransition || hasChanged || isRefreshDue || (!isLimiting(known.word) && isEndConfirmed);
 }
--- a/packages/entry/src/rate-limits/paced-sends.test.ts
+++ b/packages/entry/src/rate-limits/paced-sends.test.ts
@@ -31,27 +31,27 @@
 }
 
 describe('paced sends', () => {
-  it('count the interval from the write, which may come later than the claim', () => {
+  it('start the interval at the write, which may be later than the claim', () => {
     const sends = sendsOf(() => boundOf(1));
     expect(sends.take(HOST, INTERVAL_MS)).to.equal(true);
     expect(sends.write(HOST, INTERVAL_MS + 300)).to.equal(true);
     expect(sends.nextRoomInMs(HOST, INTERVAL_MS + 300)).to.equal(INTERVAL_MS);
   });
 
-  it('have their allowance back where nothing was written', () => {
+  it('restore the allowance of a request that was not written', () => {
     const sends = sendsOf(() => boundOf(1));
     sends.take(HOST, INTERVAL_MS);
     expect(sends.hasRoom(HOST, INTERVAL_MS + 1)).to.equal(false);
     sends.giveBack(HOST);
     expect(sends.hasRoom(HOST, INTERVAL_MS + 1)).to.equal(true);
-    // Once only, and not for what was written.
+    // An allowance is restored only once, and not after the request was written.
     sends.take(HOST, INTERVAL_MS + 1);
     sends.write(HOST, INTERVAL_MS + 2);
     sends.giveBack(HOST);
     expect(sends.hasRoom(HOST, INTERVAL_MS + 3)).to.equal(false);
   });
 
-  it('withhold a request that was claimed before the bound was known', () => {
+  it('refuse to write a request that was claimed before the bound was known', () => {
     const bounds: SendBound[] = [];
     const sends = sendsOf(() => bounds[0]);
     expect(sends.take(HOST, 1_000)).to.equal(true);
@@ -61,7 +61,7 @@
     expect(sends.write(HOST, 1_101 + INTERVAL_MS)).to.equal(false);
   });
 
-  it('follow a limit that changes: from the last send, and for a new owner from the change', () => {
+  it('adapt to a changed limit: from the last send, or from the change for a new owner', () => {
     let perSecond = 1;
     const sends = sendsOf(() => boundOf(perSecond));
     sends.take(HOST, 10_000);
@@ -76,7 +76,7 @@
     expect(second.nextRoomInMs(HOST, 20_000)).to.equal(INTERVAL_MS);
   });
 
-  it('are made by the owners whose turn it is, and by each member first some time', () => {
+  it('are made by the owners of the turn, and each member is first in one of the turns', () => {
     const ownersOf = (turn: number, isProbing = false): readonly string[] =>
       ORDER.filter(self => {
         const bound = { ...boundOf(0.5, 0, turn), isProbing };
@@ -89,7 +89,7 @@
     expect(first).to.have.members(ORDER);
   });
 
-  it('tell when there is a place, also at other entry hosts', () => {
+  it('report when any entry host may send', () => {
     const bound = boundOf(0.5);
     expect(sendsOf(() => bound).placeInMs(HOST, 0)).to.equal(INTERVAL_MS);
     expect(sendsOf(() => bound, ORDER[7]).placeInMs(HOST, 0)).to.equal(2_000);
--- a/packages/entry/src/rate-limits/paced-sends.ts
+++ b/packages/entry/src/rate-limits/paced-sends.ts
@@ -1,9 +1,9 @@
 /**
- * Paces this entry host's requests to upstream hosts that take few. Which entry hosts own a share of such a host's
- * rate follows from the list of members (the entry hosts), without agreement and without messages.
+ * Paces this entry host's requests to upstream hosts with a rate limit. Each entry host computes from the list of
+ * members (the entry hosts) which of them own a share of such a host's rate, without agreement or messages.
  *
- * The allowance is a token bucket that starts empty and holds one request at most, so that neither a
- * restart of this process nor an idle period allows more than one request in an interval.
+ * The allowance is a token bucket that starts empty and holds one request at most, so that neither a restart of this
+ * process nor an idle period allows more than one request in an interval.
  */
 import type { HostEntry } from '../hosts/host-entry.js';
 import type { MemberView } from '../peers/membership.js';
@@ -12,70 +12,70 @@
 import type { RateLimit, RateShare } from './rate-share.js';
 import { rateShare, sendIntervalMs, wholeShare } from './rate-share.js';
 
-/** A limit on what a host may be sent, for a time, in monotonic milliseconds. */
+/** A limit on the requests that a host may be sent for a period; times in monotonic milliseconds. */
 export type SendBound = {
-  /** When this process first knew of it. */
+  /** When this process learned of the limit. */
   readonly since: number;
   readonly until: number;
   readonly limit: RateLimit;
-  /** Which owners may send, by their turns in the rendezvous order; left out: the first. */
+  /** Turn number that selects the owners that may send, in rendezvous order; 0 if absent. */
   readonly turn?: number;
-  /** True while it is not known whether the limit still holds: one owner asks once in a window. */
+  /** True while it is unknown whether the limit still applies: one owner sends a probe once per window. */
   readonly isProbing?: boolean;
 };
 
-/** Options of the paced sends. */
+/** Options of {@link PacedSends}. */
 export type PacedSendsOptions = {
-  /** Why a host that has a bound may not be sent a request at the moment. */
+  /** Verdict on a host that has no allowance left at the moment. */
   readonly verdict: PacedVerdict;
-  /** Name of this entry host among the members. */
+  /** Member name of this entry host. */
   readonly self: string;
   /**
-   * Undefined: this entry host is the only one. While the function gives undefined, the members are not
-   * known yet, and nothing is sent to hosts with a bound, since all others may be owners.
+   * Undefined if this entry host is the only one. While the function returns undefined, the members are not known
+   * yet, and nothing is sent to hosts with a bound, since any other entry host may be an owner.
    */
   readonly members: (() => MemberView | undefined) | undefined;
-  /** The bound that holds for a host now; undefined for one that takes what comes. */
+  /** The bound on sends to a host at a time; undefined for a host without a limit. */
   readonly boundOf: (host: HostEntry, now: number) => SendBound | undefined;
-  /** An allowance has been used for the host. */
+  /** Called when an allowance has been used for a request to the host. */
   readonly taken: (host: HostEntry) => void;
 };
 
-/** When this entry host may send to a host. */
+/** When and how often this entry host may send to a host. */
 export type SendPace = {
   /** Milliseconds until the next send. */
   readonly nextInMs: number;
-  /** Milliseconds between two sends after that. */
+  /** Milliseconds between later sends. */
   readonly intervalMs: number;
 };
 
-/** The last send of an allowance, and from when it has room for the next one, in monotonic milliseconds. */
+/** Time of the last send and the earliest time of the next one, in monotonic milliseconds. */
 type LastSend = { readonly at: number; readonly nextAt: number };
 
-/** What this entry host may send to one host. */
+/** The requests that this entry host may send to one host. */
 type Allowance = {
   readonly bound: SendBound;
   readonly view: MemberView;
-  /** Infinity for a host that this one may send nothing. */
+  /** Infinity if this entry host owns no share of the host's rate. */
   readonly intervalMs: number;
   readonly last: LastSend;
-  /** Requests for which it was used and that are not written yet. */
+  /** Number of requests that have used the allowance and are not written yet. */
   readonly claims: number;
-  /** As `last` was before these. */
+  /** Value of `last` before the unwritten requests; restored if all of them are given back. */
   readonly written: LastSend;
 };
 
 /**
- * Time within which registrations reach the other entry hosts, in milliseconds: the longest wait of a
- * peer's question for members and its pause. A new owner waits for so long before it sends, since a former
- * one may not know yet that it has lost its share.
+ * Time within which a registration reaches the other entry hosts, in milliseconds: the longest wait of a peer's
+ * request for members plus the pause after it. A new owner waits this long before it sends, since a former owner may
+ * not know yet that it has lost its share.
  */
 export const MEMBERS_SETTLE_MS = 2_000;
 const NO_MEMBERS: MemberView = { names: [], since: -Infinity };
-/** Number of allowances from which old ones, of hosts that have no bound any more, are dropped. */
-const MANY_ALLOWANCES = 200;
+/** Number of allowances from which those with an expired bound are removed. */
+const PRUNE_THRESHOLD = 200;
 
-/** Limits the sends to hosts with a bound. */
+/** Limits the rate of sends to hosts with a bound. */
 export class PacedSends implements SendPaceFacts {
   readonly verdict: PacedVerdict;
   readonly #options: PacedSendsOptions;
@@ -89,7 +89,7 @@
   /** True when a request may be sent to the host now. */
   readonly hasRoom = (host: HostEntry, now: number): boolean => this.nextRoomInMs(host, now) === 0;
 
-  /** Uses the allowance for one request; false when there is none. */
+  /** Uses the allowance for one request; returns false if none is left. */
   readonly take = (host: HostEntry, now: number): boolean => {
     const allowance = this.#allowanceOf(host, now);
     if (allowance === undefined) {
@@ -101,7 +101,7 @@
     const { claims, last, written } = allowance;
     this.#allowances.set(host.id, {
       ...allowance,
-      last: sendAt(now, allowance),
+      last: lastSendAt(now, allowance),
       claims: claims + 1,
       written: claims === 0 ? last : written,
     });
@@ -110,8 +110,9 @@
   };
 
   /**
-   * The request is about to be written, which may be some hundred milliseconds after {@link take}: the interval to the
-   * next one begins now. False: it was chosen before the bound was known, and there is no allowance for it.
+   * Records that a request is about to be written, which may be some hundred milliseconds after {@link take}: the
+   * interval to the next request begins now. Returns false if the target was chosen before the bound was known and
+   * there is no allowance for the request.
    */
   readonly write = (host: HostEntry, now: number): boolean => {
     const allowance = this.#allowanceOf(host, now);
@@ -121,13 +122,13 @@
     if (allowance.claims === 0 && !this.take(host, now)) {
       return false;
     }
-    const last = sendAt(now, allowance);
+    const last = lastSendAt(now, allowance);
     const claims = Math.max(0, allowance.claims - 1);
     this.#allowances.set(host.id, { ...allowance, last, claims, written: last });
     return true;
   };
 
-  /** A request for which the allowance was used will not be written. */
+  /** Returns the allowance of a request that will not be written. */
   readonly giveBack = ({ id }: HostEntry): void => {
     const allowance = this.#allowances.get(id);
     if (allowance === undefined || allowance.claims === 0) {
@@ -138,13 +139,13 @@
     this.#allowances.set(id, { ...allowance, claims, last });
   };
 
-  /** Milliseconds until a request may be sent to the host; Infinity where it never may. */
+  /** Milliseconds until this entry host may send a request; Infinity if it owns no share of the rate. */
   nextRoomInMs(host: HostEntry, now: number): number {
     const allowance = this.#allowanceOf(host, now);
     return allowance === undefined ? 0 : Math.max(0, allowance.last.nextAt - now);
   }
 
-  /** When requests may be sent to a host with a bound; undefined where none may, and without a bound. */
+  /** Pace of sends to a host with a bound; undefined without a bound or without a share of the rate. */
   readonly paceOf = (host: HostEntry, now: number): SendPace | undefined => {
     const allowance = this.#allowanceOf(host, now);
     if (allowance === undefined || allowance.intervalMs === Infinity) {
@@ -155,8 +156,8 @@
   };
 
   /**
-   * Milliseconds until the host takes one more request of anybody: of this entry host where it owns a share, else the
-   * mean time between two requests of all others. 0 without a bound.
+   * Milliseconds until any entry host may send the host a request: the time until this entry host may, if it owns a
+   * share, else the mean time between two requests of all owners. 0 without a bound.
    */
   placeInMs(host: HostEntry, now: number): number {
     const allowance = this.#allowanceOf(host, now);
@@ -175,12 +176,12 @@
     }
     const view = this.#options.members?.() ?? NO_MEMBERS;
     const before = this.#allowances.get(host.id);
-    if (before !== undefined && before.view === view && isSame(before.bound, bound)) {
+    if (before !== undefined && before.view === view && areEqualBounds(before.bound, bound)) {
       return before;
     }
     const intervalMs = sendIntervalMs(this.#shareOf(host, bound, view), bound.limit);
-    const allowance = changed(before, { bound, view, intervalMs }, now);
-    this.#forgetOld(now);
+    const allowance = updatedAllowance(before, { bound, view, intervalMs }, now);
+    this.#pruneExpired(now);
     this.#allowances.set(host.id, allowance);
     return allowance;
   }
@@ -193,12 +194,12 @@
     }
     const { owners, perWindow } = rateShare(limit, names.length);
     const isOwner = isInTurn(self, names, host.id, { size: owners, turn, firstOnly });
-    const most = firstOnly ? Math.min(1, limit.perWindow) : perWindow;
-    return { owners, perWindow: isOwner ? most : 0 };
+    const maxPerWindow = firstOnly ? Math.min(1, limit.perWindow) : perWindow;
+    return { owners, perWindow: isOwner ? maxPerWindow : 0 };
   }
 
-  #forgetOld(now: number): void {
-    if (this.#allowances.size < MANY_ALLOWANCES) {
+  #pruneExpired(now: number): void {
+    if (this.#allowances.size < PRUNE_THRESHOLD) {
       return;
     }
     for (const [id, { bound }] of this.#allowances) {
@@ -209,7 +210,7 @@
   }
 }
 
-function isSame(one: SendBound, other: SendBound): boolean {
+function areEqualBounds(one: SendBound, other: SendBound): boolean {
   return (
     one.since === other.since &&
     one.turn === other.turn &&
@@ -219,12 +220,12 @@
   );
 }
 
-function sendAt(now: number, { intervalMs }: Pick<Allowance, 'intervalMs'>): LastSend {
+function lastSendAt(now: number, { intervalMs }: Pick<Allowance, 'intervalMs'>): LastSend {
   return { at: now, nextAt: now + intervalMs };
 }
 
-// Requests that are not written yet stay claimed as long as it is the same bound, by whatever figure.
-function changed(
+// Requests that are not written yet stay claimed while the bound is the same one, even if its rate has changed.
+function updatedAllowance(
   before: Allowance | undefined,
   next: Pick<Allowance, 'bound' | 'view' | 'intervalMs'>,
   now: number,
@@ -235,8 +236,8 @@
   return { ...next, last, claims: isSameBound ? before.claims : 0, written: last };
 }
 
-// A new bound and a new view both start a new interval; a new owner waits for the former ones first. Where only the
-// figure of the limit has changed, an owner counts the new interval from its last send.
+// A new bound or a new member view starts a new interval; a new owner first waits until former owners have learned of
+// the new view. If only the rate has changed, an owner counts the new interval from its last send.
 function firstSendAt(
   { bound, view, intervalMs }: Pick<Allowance, 'bound' | 'view' | 'intervalMs'>,
   before: Allowance | undefined,
@@ -246,11 +247,11 @@
     return Infinity;
   }
   const wasOwner = before !== undefined && before.intervalMs !== Infinity;
-  const isOtherFigure = before?.bound.since === bound.since && before.view === view;
-  if (isOtherFigure) {
+  const hasOnlyRateChanged = before?.bound.since === bound.since && before.view === view;
+  if (hasOnlyRateChanged) {
     return (wasOwner ? Math.max(bound.since, view.since, before.last.at) : now) + intervalMs;
   }
-  const settled = wasOwner ? view.since : view.since + MEMBERS_SETTLE_MS;
-  const from = Math.max(bound.since, settled);
-  return Math.max(from + intervalMs, wasOwner ? before.last.nextAt : -Infinity);
+  const settledAt = wasOwner ? view.since : view.since + MEMBERS_SETTLE_MS;
+  const startAt = Math.max(bound.since, settledAt);
+  return Math.max(startAt + intervalMs, wasOwner ? before.last.nextAt : -Infinity);
 }
--- a/packages/entry/src/rate-limits/rate-share.ts
+++ b/packages/entry/src/rate-limits/rate-share.ts
@@ -1,58 +1,58 @@
 /**
- * How many entry hosts may send to one upstream host that takes few requests, and at which rate each of them. Pure.
+ * Divides the rate limit of an upstream host: how many entry hosts may send to it and the rate of each. Pure functions.
  *
- * An entry host is an owner of such a host while fewer than `owners` of the members that it knows precede it in the
- * rendezvous order. If `lag` members are missing from its view, it may be one although its place among all members is
- * as low as `owners + lag`. So at most that many entry hosts send at once, even if some are cut off from the others.
+ * An entry host owns a share while fewer than `owners` of the members in its view precede it in the rendezvous order.
+ * If its view lacks `lag` members, it may own a share although its rank among all members is as low as `owners + lag`.
+ * So at most `owners + lag` entry hosts send at once, even if some are partitioned from the others.
  */
 
-/** What all entry hosts together may send to one host. */
+/** Limit on the requests that all entry hosts together may send to one host. */
 export type RateLimit = {
-  /** Length of the windows in which arrivals are counted, in milliseconds. */
+  /** Length of the windows in which arriving requests are counted, in milliseconds. */
   readonly windowMs: number;
-  /** Requests in a window that the host takes. */
+  /** Requests per window that the host accepts; may be a fraction. */
   readonly perWindow: number;
-  /** Arrivals that are allowed in any one window. */
+  /** Most requests that may arrive in any window. */
   readonly mostPerWindow: number;
-  /** Members that a view may lack while the bound still holds for certain; left out: {@link TOLERATED_LAG}. */
+  /** Members that a view may lack without `mostPerWindow` being exceeded; {@link TOLERATED_LAG} if absent. */
   readonly toleratedLag?: number;
 };
 
-/** What one owner may send. */
+/** Number of owners and the rate of each. */
 export type RateShare = {
-  /** Entry hosts that may send to the host. */
+  /** Number of entry hosts that may send to the host. */
   readonly owners: number;
-  /** Requests in a window for each of them; 0: none. */
+  /** Requests per window for each owner; 0 if none may be sent. */
   readonly perWindow: number;
 };
 
 /**
- * Members that a view usually may lack. Registrations are never removed from the store, so a view can only lack
- * members: the few that were added while a link was down.
+ * Default number of members that a view may lack. Registrations are never removed from the store, so a view can only
+ * lack members: the few that were added while a link was down.
  */
 export const TOLERATED_LAG = 4;
-/** Part of the rate from which a division is good enough: larger shares would then mean fewer owners. */
-const ENOUGH_PART = 0.85;
+/** Part of the rate (0 to 1) from which a division is accepted: larger shares would mean fewer owners. */
+const SUFFICIENT_PART = 0.85;
 /**
- * Factor on the interval between two sends, so that jitter in the network delay does not bring one more
- * arrival into the same window.
+ * Factor on the interval between two sends, so that jitter in the network delay does not move one more request into
+ * the same window.
  */
-const PACE_FACTOR = 1.05;
+const INTERVAL_FACTOR = 1.05;
 const NO_SHARE: RateShare = { owners: 0, perWindow: 0 };
 
 /**
- * The division for a view of so many members: as many owners as the bound allows, each with the smallest
- * whole number of requests in a window that adds up to the rate. With many owners the bound tolerates more
- * lag, and the rate is used up even if each entry host has few requests.
+ * Divides the rate for a view of `members` members: as many owners as the limit allows, each with the smallest whole
+ * number of requests per window that adds up to the rate. With many owners the limit tolerates views that lack more
+ * members, and the whole rate can be used even if each entry host has few requests.
  */
 export function rateShare(limit: RateLimit, members: number): RateShare {
   const { perWindow: rate } = limit;
-  let best = singleShare(limit, members);
+  let best = smallestShare(limit, members);
   for (let perWindow = 1; perWindow <= rate; perWindow += 1) {
     const owners = Math.min(
       members,
       Math.floor(rate / perWindow),
-      mostOwners(limit, members, perWindow),
+      maxOwners(limit, members, perWindow),
     );
     if (owners < 1) {
       break;
@@ -60,47 +60,47 @@
     if (owners * perWindow > best.owners * best.perWindow) {
       best = { owners, perWindow };
     }
-    if (owners * perWindow >= ENOUGH_PART * rate) {
+    if (owners * perWindow >= SUFFICIENT_PART * rate) {
       break;
     }
   }
   return best;
 }
 
-/** The share of an entry host that has no peers. */
+/** Returns the share of an entry host that has no peers: the whole rate. */
 export function wholeShare({ perWindow, mostPerWindow }: RateLimit): RateShare {
-  const most = Math.min(perWindow, Math.floor(mostPerWindow));
-  return most > 0 ? { owners: 1, perWindow: most } : NO_SHARE;
+  const maxWhole = Math.min(perWindow, Math.floor(mostPerWindow));
+  return maxWhole > 0 ? { owners: 1, perWindow: maxWhole } : NO_SHARE;
 }
 
-/** Least time between two sends of one owner, in milliseconds. */
+/** Minimum interval between two sends of one owner, in milliseconds; Infinity for an empty share. */
 export function sendIntervalMs(
   { perWindow }: RateShare,
   { windowMs }: Pick<RateLimit, 'windowMs'>,
 ): number {
-  return perWindow > 0 ? (PACE_FACTOR * windowMs) / perWindow : Infinity;
+  return perWindow > 0 ? (INTERVAL_FACTOR * windowMs) / perWindow : Infinity;
 }
 
-// Bounds the sum of all shares: owners with a view that lags send beside those with a newer view, and a
-// view of more members may have more owners, with smaller shares.
-function mostOwners(
+// Largest number of owners that keeps the sum of all shares within `mostPerWindow`: owners with an outdated view send
+// beside those with a newer view, and a view of more members may have more owners with smaller shares.
+function maxOwners(
   { perWindow: rate, mostPerWindow, toleratedLag: lag = TOLERATED_LAG }: RateLimit,
   members: number,
   perWindow: number,
 ): number {
-  const withLag = Math.floor(mostPerWindow / perWindow) - lag;
-  const mostAtAll = Math.floor(Math.min(rate, mostPerWindow - lag));
-  const behind = Math.max(0, Math.min(members, mostAtAll)) * (perWindow - 1);
-  return Math.min(withLag, Math.floor(mostPerWindow - lag * perWindow - behind));
+  const maxWithLag = Math.floor(mostPerWindow / perWindow) - lag;
+  const maxInAnyView = Math.floor(Math.min(rate, mostPerWindow - lag));
+  const outdatedExcess = Math.max(0, Math.min(members, maxInAnyView)) * (perWindow - 1);
+  return Math.min(maxWithLag, Math.floor(mostPerWindow - lag * perWindow - outdatedExcess));
 }
 
-// At most one request in a window for each owner, less where that would add up to more than a rate that is no whole
-// number. Where the bound has no room for views that lag: one owner.
-function singleShare(limit: RateLimit, members: number): RateShare {
+// Gives each owner at most one request per window, or less where the sum would exceed a rate that is not a whole
+// number. If the limit leaves no room for outdated views, there is one owner.
+function smallestShare(limit: RateLimit, members: number): RateShare {
   const { perWindow: rate, mostPerWindow } = limit;
   if (mostPerWindow < 1) {
     return NO_SHARE;
   }
-  const owners = Math.max(1, Math.min(members, Math.ceil(rate), mostOwners(limit, members, 1)));
+  const owners = Math.max(1, Math.min(members, Math.ceil(rate), maxOwners(limit, members, 1)));
   return { owners, perWindow: Math.min(1, rate / owners) };
 }
--- a/packages/entry/src/testing/limit-day.ts
+++ b/packages/entry/src/testing/limit-day.ts
@@ -1,46 +1,47 @@
-/** What happens in a simulated minute of a host that names limits, and what came of it. */
+/** Scenario of a simulated minute with a rate-limited host, and its result. */
 
-/** From a time on the host names a limit; Infinity: none. */
+/** A change of the host's limit, in requests per second, at a time; Infinity removes the limit. */
 export type LimitStep = { readonly atMs: number; readonly perSecond: number };
 
-/** A limit as the entry hosts heard of it: none can know of another one before an answer names it. */
+/** A limit with the time of the first answer that contained it; no entry host can know it before. */
 export type SaidLimit = LimitStep & { readonly heardAt: number };
 
-/** Something that happens to a part of the entry hosts, the first ones in an order of its own. */
+/** A disruption of a part of the entry hosts: the first ones of the list. */
 export type Trouble = {
   readonly kind: 'restart' | 'suspension' | 'cut';
   readonly atMs: number;
-  /** Of suspensions and cuts. */
+  /** Duration of a suspension or partition, in milliseconds; ignored for a restart. */
   readonly forMs: number;
-  /** Part of the entry hosts, 0 to 1. */
+  /** Part of the entry hosts that is affected, 0 to 1. */
   readonly part: number;
 };
 
-/** What happens within the minute. */
+/** Load, limits and disruptions of the simulated minute. */
 export type LimitDay = {
   readonly seed: number;
+  /** Number of entry hosts at the start. */
   readonly members: number;
-  /** Requests a second for the host that come to each entry host. */
+  /** Requests per second for the host that arrive at each busy entry host. */
   readonly demandPerS: number;
-  /** Part of the entry hosts that have requests, 0 to 1. */
+  /** Probability that an entry host has requests, 0 to 1. */
   readonly busyPart: number;
-  /** Requests come to all at the same moments, every few seconds. */
+  /** True if requests arrive at all entry hosts in the same bursts, every few seconds, instead of at random. */
   readonly inBursts: boolean;
   readonly limits: readonly LimitStep[];
   readonly troubles: readonly Trouble[];
-  /** Times at which one more entry host registers. */
+  /** Times at which another entry host registers, in milliseconds. */
   readonly joins: readonly number[];
 };
 
-/** The way of the product, another way to divide a limit, or a part of the mechanism left out. */
+/** The product's mechanism, another division of the limit, or the mechanism with a part disabled. */
 export type LimitWay = 'as-built' | 'equal-parts' | 'no-reports' | 'any-answer-ends-it';
 
-/** What the host got. */
+/** Result of a simulation. */
 export type LimitDayResult = {
-  /** Most requests in a window beyond what is allowed, from entry hosts that the host has told; 0 or less: none. */
+  /** Largest excess over the bound in a window, by entry hosts that have received the limit; no excess if 0 or less. */
   readonly excess: number;
-  /** Requests while a limit was named, as a part of it, from `COUNTED_AFTER_MS` on. */
+  /** Received requests as a part of the limit, counted from `COUNTED_AFTER_MS` after each change. */
   readonly usedPart: number;
-  /** Longest time from the end of a limit until no entry host keeps to it any more, in milliseconds. */
+  /** Longest time from the end of a limit until no entry host applies it any more, in milliseconds. */
   readonly longestReturnMs: number;
 };
--- a/packages/entry/src/testing/limit-days.ts
+++ b/packages/entry/src/testing/limit-days.ts
@@ -1,6 +1,7 @@
 /**
- * Simulates, without I/O, a minute of many entry hosts before one upstream host that names limits: requests that wait
- * for connections, answers that overtake each other, reports between entry hosts, restarts, suspensions, cuts, joins.
+ * Simulates, without I/O, a minute of many entry hosts that send to one upstream host with changing rate limits. Covers
+ * requests that wait for connections, answers that overtake each other, reports between entry hosts, restarts,
+ * suspensions, partitions and joins.
  */
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
@@ -24,58 +25,63 @@
 } from './limit-day.js';
 import { BOUNDS, mostExcess, usedPart } from './limit-day-checks.js';
 
-/** Length of a simulated day. */
+/** Simulated time of a scenario, in milliseconds. */
 export const DAY_MS = 60_000;
-/** An entry host counts from so long after the host has told it. */
-const TOLD_AFTER_MS = 500;
-/** Time for which an entry host does not count after a restart, a suspension or a cut. */
+/** The requests of an entry host count from this time after it has received the limit, in milliseconds. */
+const INFORMED_AFTER_MS = 500;
+/** Time after a restart, suspension, partition or join in which requests do not count, in milliseconds. */
 const EXCUSED_MS = 3_000;
 const STEP_MS = 20;
 const REPORT_PERIOD_MS = 250;
-const MOST_REPORT_DELAY_MS = 60;
-const MOST_CONNECT_MS = 300;
-const MOST_ANSWER_MS = 600;
-const MOST_VIEW_LAG_MS = 1_500;
+const MAX_REPORT_DELAY_MS = 60;
+const MAX_CONNECT_MS = 300;
+const MAX_ANSWER_MS = 600;
+const MAX_VIEW_LAG_MS = 1_500;
 const BURST_PERIOD_MS = 7_000;
-const FOLLOWERS = 3;
+/** Parts (0 to 1) of the requests that need no new connection, and of the answers that are late. */
+const IMMEDIATE_PART = 0.5;
+const LATE_PART = 0.05;
+const FOLLOWERS_PER_ENTRY = 3;
 const MS_PER_S = 1_000;
 const HOST: HostEntry = testHost('limited');
 
-const NEVER_TOLD = { begunAt: -1, at: Infinity };
+/** State of an entry host to which the host has sent no limit. */
+const NOT_INFORMED = { beganAt: -1, at: Infinity };
 const UNLIMITED: LimitStep = { atMs: 0, perSecond: Infinity };
 
-type Arrival = { readonly at: number; readonly isTold: boolean; readonly isExcused: boolean };
+/** A request at the upstream host; only those of informed and not excused entry hosts count. */
+type Arrival = { readonly at: number; readonly isInformed: boolean; readonly isExcused: boolean };
 
-/** One entry host; a restart makes a new process of it. */
+/** A simulated entry host; a restart replaces its process. */
 type Entry = {
   readonly name: string;
   readonly isBusy: boolean;
-  readonly toldTo: Map<Entry, { readonly process: number; readonly sequence: number }>;
+  readonly sentTo: Map<Entry, { readonly process: number; readonly sequence: number }>;
   process: number;
   limits: NamedLimits;
   sends: PacedSends;
   view: MemberView;
-  /** When the host told it of the limits that it has named since a time. */
-  told: { readonly begunAt: number; readonly at: number };
+  /** Start of the current period of limits, and when this entry host received a limit of it, in milliseconds. */
+  informed: { readonly beganAt: number; readonly at: number };
   suspendedUntil: number;
   cutUntil: number;
   excusedUntil: number;
-  /** What waits until it wakes. */
+  /** Deliveries that wait until the suspension ends. */
   readonly pending: (() => void)[];
 };
 
-/** Simulates the day. */
+/** Runs the scenario with the product's mechanism, or with a variant of it. */
 export function playLimitDay(day: LimitDay, way: LimitWay = 'as-built'): LimitDayResult {
-  return new SimulatedDay(day, way).play();
+  return new LimitSimulation(day, way).run();
 }
 
-class SimulatedDay {
+class LimitSimulation {
   readonly #day: LimitDay;
   readonly #way: LimitWay;
   readonly #entries: Entry[] = [];
   readonly #events = new Map<number, (() => void)[]>();
   readonly #arrivals: Arrival[] = [];
-  readonly #said: SaidLimit[] = [];
+  readonly #observed: SaidLimit[] = [];
   readonly #random: () => number;
   #now = 0;
   #linkedAt = -1;
@@ -96,70 +102,70 @@
       entry.view = { names, since: -DAY_MS };
     });
     day.joins.forEach((atMs, index) => {
-      this.#at(atMs, () => {
+      this.#schedule(atMs, () => {
         this.#join(`joined-${index}`);
       });
     });
     day.troubles.forEach(trouble => {
-      this.#at(trouble.atMs, () => {
-        this.#strike(trouble);
+      this.#schedule(trouble.atMs, () => {
+        this.#disrupt(trouble);
       });
     });
     day.limits.forEach(({ atMs, perSecond }) => {
-      this.#at(atMs, () => {
+      this.#schedule(atMs, () => {
         this.#endedAt = perSecond === Infinity ? this.#now : undefined;
       });
     });
   }
 
-  play(): LimitDayResult {
+  run(): LimitDayResult {
     for (; this.#now <= DAY_MS; this.#now += STEP_MS) {
       const due = this.#events.get(this.#now) ?? [];
       this.#events.delete(this.#now);
-      due.forEach(happen => {
-        happen();
+      due.forEach(event => {
+        event();
       });
       this.#entries.forEach(entry => {
-        this.#wake(entry);
-        this.#ask(entry);
+        this.#deliverPending(entry);
+        this.#sendRequest(entry);
       });
       if (this.#now % REPORT_PERIOD_MS < STEP_MS) {
         this.#entries.forEach(entry => {
           this.#report(entry);
         });
       }
-      this.#noteReturn();
+      this.#recordReturn();
     }
     const timesOf = (arrivals: readonly Arrival[]): readonly number[] =>
       arrivals.map(({ at }) => at);
-    const counted = this.#arrivals.filter(({ isTold, isExcused }) => isTold && !isExcused);
+    const counted = this.#arrivals.filter(({ isInformed, isExcused }) => isInformed && !isExcused);
     return {
-      excess: mostExcess(timesOf(counted), this.#said),
+      excess: mostExcess(timesOf(counted), this.#observed),
       usedPart: usedPart(timesOf(this.#arrivals), this.#day.limits, DAY_MS),
       longestReturnMs: this.#longestReturnMs,
     };
   }
 
-  #at(ms: number, happen: () => void): void {
+  #schedule(ms: number, event: () => void): void {
     const step = Math.max(this.#now + STEP_MS, Math.ceil(ms / STEP_MS) * STEP_MS);
-    this.#events.set(step, [...(this.#events.get(step) ?? []), happen]);
+    this.#events.set(step, [...(this.#events.get(step) ?? []), event]);
   }
 
-  // Something reaches an entry host, or waits until it wakes; a process that has started since does not get it.
-  #reach(entry: Entry, ms: number, take: () => void): void {
+  // Delivers to an entry host at a time, or after its suspension; dropped if the process has been replaced since.
+  #deliver(entry: Entry, ms: number, deliver: () => void): void {
     const { process } = entry;
-    this.#at(ms, () => {
+    this.#schedule(ms, () => {
       if (entry.process === process) {
-        entry.pending.push(take);
-        this.#wake(entry);
+        entry.pending.push(deliver);
+        this.#deliverPending(entry);
       }
     });
   }
 
-  #wake(entry: Entry): void {
+  #deliverPending(entry: Entry): void {
     if (entry.suspendedUntil <= this.#now) {
-      entry.pending.splice(0).forEach(take => {
-        take();
+      entry.pending.splice(0).forEach(deliver => {
+        deliver();
       });
     }
   }
@@ -169,23 +175,23 @@
     const entry = {
       name,
       isBusy: this.#random() < this.#day.busyPart,
-      toldTo: new Map(),
+      sentTo: new Map(),
       process: 0,
       view,
-      told: NEVER_TOLD,
+      informed: NOT_INFORMED,
       suspendedUntil: 0,
       cutUntil: 0,
       excusedUntil: 0,
       pending: [],
     } as unknown as Entry;
-    this.#start(entry);
+    this.#startProcess(entry);
     return entry;
   }
 
-  #start(entry: Entry): void {
+  #startProcess(entry: Entry): void {
     entry.process += 1;
-    entry.told = NEVER_TOLD;
-    entry.toldTo.clear();
+    entry.informed = NOT_INFORMED;
+    entry.sentTo.clear();
     entry.pending.splice(0);
     entry.limits = new NamedLimits({
       bounds: () => BOUNDS,
@@ -216,21 +222,21 @@
     return { ...bound, limit: { ...bound.limit, perWindow } };
   }
 
-  // Whoever sees itself alone is the only owner.
+  // With 'equal-parts' each entry host sees only itself, which makes it the only owner.
   #membersOf({ name, view }: Entry): MemberView {
     return this.#way === 'equal-parts' ? { names: [name], since: 0 } : view;
   }
 
   #join(name: string): void {
     const names = [...(this.#entries[0]?.view.names ?? []), name];
-    const learn = (entry: Entry): void => {
+    const receiveMembers = (entry: Entry): void => {
       if (names.length > entry.view.names.length) {
         entry.view = { names, since: this.#now };
       }
     };
     this.#entries.forEach(entry => {
-      this.#at(this.#now + this.#random() * MOST_VIEW_LAG_MS, () => {
-        learn(entry);
+      this.#schedule(this.#now + this.#random() * MAX_VIEW_LAG_MS, () => {
+        receiveMembers(entry);
       });
     });
     const joined = this.#newEntry(name);
@@ -239,13 +245,13 @@
     this.#entries.push(joined);
   }
 
-  #strike({ kind, forMs, part }: Trouble): void {
-    const struck = this.#entries.slice(0, Math.ceil(part * this.#entries.length));
+  #disrupt({ kind, forMs, part }: Trouble): void {
+    const affected = this.#entries.slice(0, Math.ceil(part * this.#entries.length));
     const until = this.#now + (kind === 'restart' ? 0 : forMs);
-    struck.forEach(entry => {
+    affected.forEach(entry => {
       entry.excusedUntil = Math.max(entry.excusedUntil, until + EXCUSED_MS);
       if (kind === 'restart') {
-        this.#start(entry);
+        this.#startProcess(entry);
       } else if (kind === 'suspension') {
         entry.suspendedUntil = until;
       } else {
@@ -254,27 +260,27 @@
     });
   }
 
-  // Since when the host has named limits without a break at that time.
-  #begunAt(atMs: number): number {
-    const passed = this.#day.limits.filter(step => step.atMs <= atMs);
-    const lastFree = passed.map(({ perSecond }) => perSecond).lastIndexOf(Infinity);
-    return passed[lastFree + 1]?.atMs ?? Infinity;
+  // Returns the start of the uninterrupted period of limits at a time; Infinity without a limit.
+  #periodStart(atMs: number): number {
+    const started = this.#day.limits.filter(step => step.atMs <= atMs);
+    const lastUnlimited = started.map(({ perSecond }) => perSecond).lastIndexOf(Infinity);
+    return started[lastUnlimited + 1]?.atMs ?? Infinity;
   }
 
   get #limit(): LimitStep {
-    const passed = this.#day.limits.filter(({ atMs }) => atMs <= this.#now);
-    return passed.at(-1) ?? UNLIMITED;
+    const started = this.#day.limits.filter(({ atMs }) => atMs <= this.#now);
+    return started.at(-1) ?? UNLIMITED;
   }
 
-  #ask(entry: Entry): void {
+  #sendRequest(entry: Entry): void {
     const { demandPerS, inBursts } = this.#day;
     const isBurst = this.#now % BURST_PERIOD_MS < MS_PER_S / 2;
     const chance = (demandPerS * STEP_MS) / MS_PER_S;
-    const comes = inBursts ? isBurst : this.#random() < chance;
+    const arrives = inBursts ? isBurst : this.#random() < chance;
     const isAwake = entry.suspendedUntil <= this.#now;
-    if (entry.isBusy && isAwake && comes && entry.sends.take(HOST, this.#now)) {
-      const waitsMs = this.#random() < 0.5 ? 0 : this.#random() * MOST_CONNECT_MS;
-      this.#reach(entry, this.#now + waitsMs, () => {
+    if (entry.isBusy && isAwake && arrives && entry.sends.take(HOST, this.#now)) {
+      const connectMs = this.#random() < IMMEDIATE_PART ? 0 : this.#random() * MAX_CONNECT_MS;
+      this.#deliver(entry, this.#now + connectMs, () => {
         this.#write(entry);
       });
     }
@@ -285,30 +291,31 @@
       return;
     }
     const writtenAt = this.#now;
-    const { told } = entry;
-    const isTold =
-      told.begunAt === this.#begunAt(this.#now) && told.at + TOLD_AFTER_MS <= this.#now;
-    this.#arrivals.push({ at: this.#now, isTold, isExcused: entry.excusedUntil > this.#now });
-    // What the host says is what holds when it begins its answer; the answer itself may be late.
-    const answersAt = this.#now + this.#random() * MOST_ANSWER_MS;
-    const arrivesAt = answersAt + (this.#random() < 0.05 ? MOST_ANSWER_MS : 0);
-    this.#at(answersAt, () => {
-      const said = this.#limit;
-      this.#reach(entry, arrivesAt, () => {
-        this.#hear(entry, said, writtenAt);
+    const { informed } = entry;
+    const isInformed =
+      informed.beganAt === this.#periodStart(this.#now) &&
+      informed.at + INFORMED_AFTER_MS <= this.#now;
+    this.#arrivals.push({ at: this.#now, isInformed, isExcused: entry.excusedUntil > this.#now });
+    // An answer contains the limit at the time when the host begins it; the answer itself may be delayed.
+    const answersAt = this.#now + this.#random() * MAX_ANSWER_MS;
+    const arrivesAt = answersAt + (this.#random() < LATE_PART ? MAX_ANSWER_MS : 0);
+    this.#schedule(answersAt, () => {
+      const answered = this.#limit;
+      this.#deliver(entry, arrivesAt, () => {
+        this.#receiveAnswer(entry, answered, writtenAt);
       });
     });
   }
 
-  #hear(entry: Entry, said: LimitStep, writtenAt: number): void {
-    const { perSecond } = said;
+  #receiveAnswer(entry: Entry, answered: LimitStep, writtenAt: number): void {
+    const { perSecond } = answered;
     const isLimited = perSecond !== Infinity;
-    if (said.atMs > (this.#said.at(-1)?.atMs ?? -1)) {
-      this.#said.push({ atMs: said.atMs, perSecond, heardAt: this.#now });
+    if (answered.atMs > (this.#observed.at(-1)?.atMs ?? -1)) {
+      this.#observed.push({ atMs: answered.atMs, perSecond, heardAt: this.#now });
     }
-    const begunAt = this.#begunAt(said.atMs);
-    if (isLimited && entry.told.begunAt !== begunAt) {
-      entry.told = { begunAt, at: this.#now };
+    const beganAt = this.#periodStart(answered.atMs);
+    if (isLimited && entry.informed.beganAt !== beganAt) {
+      entry.informed = { beganAt, at: this.#now };
     }
     const askedAt = this.#way === 'any-answer-ends-it' ? this.#now + 1 : writtenAt;
     const notice = isLimited
@@ -317,39 +324,39 @@
     entry.limits.hear(HOST, notice, askedAt);
   }
 
-  // As `ReportExchange` does: to whom an entry host follows and who follows it, until it has arrived.
+  // As in `ReportExchange`, sends new reports to the entry host that this one follows and to its followers.
   #report(entry: Entry): void {
-    const isAway = this.#way === 'no-reports' || entry.suspendedUntil > this.#now;
-    if (isAway) {
+    const isSilent = this.#way === 'no-reports' || entry.suspendedUntil > this.#now;
+    if (isSilent) {
       return;
     }
     this.#neighboursOf(entry).forEach(neighbour => {
-      const told = entry.toldTo.get(neighbour);
-      const from = told?.process === neighbour.process ? told.sequence : 0;
+      const sent = entry.sentTo.get(neighbour);
+      const from = sent?.process === neighbour.process ? sent.sequence : 0;
       const { sequence } = entry.limits;
       if (from < sequence) {
-        entry.toldTo.set(neighbour, { process: neighbour.process, sequence });
+        entry.sentTo.set(neighbour, { process: neighbour.process, sequence });
         const reports: readonly LimitReport[] = entry.limits.since(from);
-        this.#reach(neighbour, this.#now + this.#random() * MOST_REPORT_DELAY_MS, () => {
+        this.#deliver(neighbour, this.#now + this.#random() * MAX_REPORT_DELAY_MS, () => {
           if (neighbour.limits.take(reports)) {
-            this.#askBack(neighbour, entry);
+            this.#requestReports(neighbour, entry);
           }
         });
       }
     });
   }
 
-  #askBack(asking: Entry, asked: Entry): void {
+  #requestReports(asking: Entry, asked: Entry): void {
     const requestedAt = this.#now;
-    this.#reach(asked, this.#now + this.#random() * MOST_REPORT_DELAY_MS, () => {
+    this.#deliver(asked, this.#now + this.#random() * MAX_REPORT_DELAY_MS, () => {
       const reports = asked.limits.since(0);
-      this.#reach(asking, this.#now + this.#random() * MOST_REPORT_DELAY_MS, () => {
+      this.#deliver(asking, this.#now + this.#random() * MAX_REPORT_DELAY_MS, () => {
         asking.limits.take(reports, requestedAt);
       });
     });
   }
 
-  // Each follows the one that is due by its place, or the first that answers.
+  // Each entry host follows the one assigned by its position, or the first one that it can reach.
   #neighboursOf(entry: Entry): readonly Entry[] {
     if (this.#linkedAt !== this.#now) {
       this.#linkedAt = this.#now;
@@ -367,20 +374,20 @@
   }
 
   #followedBy(entry: Entry, place: number): Entry | undefined {
-    const due = this.#entries[Math.floor((place - 1) / FOLLOWERS)];
+    const assigned = this.#entries[Math.floor((place - 1) / FOLLOWERS_PER_ENTRY)];
     const reaches = (other: Entry): boolean =>
       other.suspendedUntil <= this.#now &&
       other.cutUntil > this.#now === entry.cutUntil > this.#now;
-    const isDue = place > 0 && due !== undefined && reaches(due);
-    return isDue ? due : this.#entries.slice(0, place).find(reaches);
+    const isAssigned = place > 0 && assigned !== undefined && reaches(assigned);
+    return isAssigned ? assigned : this.#entries.slice(0, place).find(reaches);
   }
 
-  #noteReturn(): void {
-    const isKept = this.#entries.some(
+  #recordReturn(): void {
+    const isApplied = this.#entries.some(
       ({ limits, excusedUntil }) =>
         excusedUntil <= this.#now && limits.boundOf(HOST, this.#now) !== undefined,
     );
-    if (this.#endedAt !== undefined && isKept) {
+    if (this.#endedAt !== undefined && isApplied) {
       this.#longestReturnMs = Math.max(this.#longestReturnMs, this.#now - this.#endedAt);
     }
   }
