--- a/packages/entry/src/configuration/serving-configuration.ts
+++ b/packages/entry/src/configuration/serving-configuration.ts
@@ -39,7 +39,7 @@
   readonly name: string;
   /** Number of hosts in a replica group. */
   readonly size: number;
-  /** Factor on all processing times of the engine. */
+  /** Factor on all times of the engine. */
   readonly pace: number;
   /** The model's share of the service's requests, 0 to 1. */
   readonly workShare: number;
--- a/packages/entry/src/rate-limits/rate-share.ts
+++ b/packages/entry/src/rate-limits/rate-share.ts
@@ -67,10 +67,10 @@
   return best;
 }
 
-/** Returns the share of an entry host that has no peers: the whole rate. */
+/** Returns the share of an entry host that has no peers: the whole rate, limited to `mostPerWindow` rounded down. */
 export function wholeShare({ perWindow, mostPerWindow }: RateLimit): RateShare {
-  const maxWhole = Math.min(perWindow, Math.floor(mostPerWindow));
-  return maxWhole > 0 ? { owners: 1, perWindow: maxWhole } : NO_SHARE;
+  const maxPerWindow = Math.min(perWindow, Math.floor(mostPerWindow));
+  return maxPerWindow > 0 ? { owners: 1, perWindow: maxPerWindow } : NO_SHARE;
 }
 
 /** Minimum interval between two sends of one owner, in milliseconds; Infinity for an empty share. */
