--- a/packages/entry/src/peers/membership.test.ts
+++ b/packages/entry/src/peers/membership.test.ts
@@ -8,7 +8,7 @@
 
 const SELF: Member = { name: 'self', address: '10.0.0.1:7340', failureDomain: 'a', power: 1 };
 
-/** A membership with the registrations that its first list brings; none comes when undefined. */
+/** Creates a membership that has read a first list of registrations; undefined: it has read no list. */
 function membershipWith(listed: readonly Member[] | undefined): {
   membership: Membership;
   created: string[];
@@ -34,19 +34,19 @@
     expect(created).to.deep.equal(['self']);
   });
 
-  it('is left as it is by a process that starts again', async () => {
+  it('is left unchanged by a host that restarts', async () => {
     const { membership, created } = membershipWith([SELF]);
     await membership.register();
     expect(created).to.deep.equal([]);
   });
 
-  it('is written by a host that comes back at another address', async () => {
+  it('is written by a host that restarts at another address', async () => {
     const { membership, created } = membershipWith([{ ...SELF, address: '10.0.0.9:7340' }]);
     await membership.register();
     expect(created).to.deep.equal(['self']);
   });
 
-  it('is written soon also where no list comes', async () => {
+  it('is written soon even when no list is received', async () => {
     const { membership, created } = membershipWith(undefined);
     const startedAt = performance.now();
     await membership.register();
@@ -63,12 +63,12 @@
     value: member,
   });
 
-  it('is not known before a registration was read', () => {
+  it('is undefined until a registration has been read', () => {
     expect(membershipWith(undefined).membership.view).to.equal(undefined);
     expect(membershipWith([]).membership.view).to.equal(undefined);
   });
 
-  it('stays the same while the same hosts are registered, and is a new one with each host', () => {
+  it('is the same object while the same hosts are registered, and a new one when a host is added', () => {
     const { membership } = membershipWith([SELF, other('b')]);
     const { view } = membership;
     expect(view?.names).to.have.members(['self', 'b']);
--- a/packages/entry/src/peers/membership.ts
+++ b/packages/entry/src/peers/membership.ts
@@ -1,4 +1,4 @@
-/** Registers this entry host in the store, and knows the others that did. */
+/** Registers this entry host in the store and keeps track of all registered entry hosts. */
 import { isOfEarlierEra } from '@hingescale/core';
 
 import { FailureSeries } from '../server/failure-series.js';
@@ -11,116 +11,116 @@
 import type { Candidates, Member } from './member.js';
 import { candidatesOf, readMember, remoteHeads } from './member.js';
 
-/** Options of the membership. */
 export type MembershipOptions = {
   readonly self: Member;
-  /** Peers' addresses that are known before any registration was read; they may be gone. */
+  /** Addresses of peers that are used until registrations have been read; some of these may have been removed. */
   readonly seeds: readonly string[];
   readonly store: ObjectStore;
   readonly log: Log;
 };
 
-/** The registered entry hosts as this one knows them; the same object until one comes or goes. */
+/** The known registered entry hosts; the object is replaced only when a host is added or removed. */
 export type MemberView = {
   readonly names: readonly string[];
-  /** When this view came into being, in monotonic milliseconds. */
+  /** Time at which this set of hosts was first observed, in monotonic milliseconds. */
   readonly since: number;
 };
 
-const NOBODY: readonly string[] = [];
+const NO_NAMES: readonly string[] = [];
+/** Mean pause before registering is retried, in milliseconds; each pause is 0.5 to 1.5 times as long. */
 const RETRY_MS = 1_000;
 /**
- * Time over which all entry hosts register again after an older copy, in milliseconds: a hundred writes a second
- * of three hundred hosts.
+ * Time over which entry hosts spread their new registrations after the store was restored from an older copy, in
+ * milliseconds: three hundred hosts then make a hundred writes a second.
  */
 const REGISTER_SPREAD_MS = 3_000;
 /**
- * Longest wait for the first list of members before this host registers, in milliseconds. The store
- * answers in milliseconds; without it registering would fail as well.
+ * Longest wait for the first list of members before this host registers, in milliseconds. A store that is
+ * reachable answers within milliseconds; while it is not, registering would fail as well.
  */
-const FIRST_LIST_MS = 300;
+const FIRST_LIST_TIMEOUT_MS = 300;
 
-/** The registered entry hosts. */
+/** Keeps the registration of this host in the store, and the registrations of all entry hosts as last observed. */
 export class Membership {
   readonly #options: MembershipOptions;
   readonly #members = new Map<string, Member>();
   readonly #abort = new AbortController();
   #candidates: Candidates | undefined;
   #view: MemberView | undefined;
-  /** Until the store has lost it by coming back from an older copy. */
+  /** True from the registration until the store loses it by being restored from an older copy. */
   #isRegistered = false;
-  #noteKnown: () => void = () => undefined;
-  readonly #known = new Promise<void>(resolve => {
-    this.#noteKnown = resolve;
+  #resolveFirstList: () => void = () => undefined;
+  readonly #firstList = new Promise<void>(resolve => {
+    this.#resolveFirstList = resolve;
   });
 
   constructor(options: MembershipOptions) {
     this.#options = options;
   }
 
-  /** Feeds the registrations that a watch brings. */
+  /** Receives the registrations from a watch of the store. */
   get observer(): KindObserver {
     return {
       listed: (list: ObjectList): void => {
         this.#members.clear();
         list.objects.forEach(object => {
-          this.#put(object);
+          this.#setMember(object);
         });
-        this.#noteView();
-        this.#noteKnown();
+        this.#updateView();
+        this.#resolveFirstList();
         this.#checkRegistration(list);
       },
       changed: (changes: readonly ObjectChange[]): void => {
         changes.forEach(change => {
-          this.#take(change);
+          this.#applyChange(change);
         });
-        this.#noteView();
+        this.#updateView();
       },
       confirmed: (): void => undefined,
     };
   }
 
-  /** Registered hosts, this one included; 0 while nothing was read. */
+  /** Number of registered hosts, this one included; 0 until registrations have been read. */
   get count(): number {
     return this.#members.size;
   }
 
-  /** The registered hosts and since when they are these; undefined while none is known. */
+  /** The registered hosts and the time since which the set is unchanged; undefined while no host is known. */
   get view(): MemberView | undefined {
     return this.#view;
   }
 
-  /** A registered host by its name. */
+  /** Returns a registered host by its name. */
   get(name: string): Member | undefined {
     return this.#members.get(name);
   }
 
-  /** The names of {@link view}, in no particular order; empty while none is known. */
+  /** The names in {@link view}, in no particular order; empty while no host is known. */
   get names(): readonly string[] {
-    return this.#view?.names ?? NOBODY;
+    return this.#view?.names ?? NO_NAMES;
   }
 
-  /** Whom this host may follow. */
+  /** The peers that this host may follow. */
   get candidates(): Candidates {
-    this.#candidates ??= this.#candidatesNow();
+    this.#candidates ??= this.#computeCandidates();
     return this.#candidates;
   }
 
-  /** The first hosts of the other failure domains. */
+  /** The highest-ranked hosts of each other failure domain. */
   get remoteHeads(): readonly Member[] {
     return remoteHeads(this.#options.self, [...this.#members.values()]);
   }
 
-  /** Resolves once the registrations were read, or after a moment without them. */
+  /** Resolves once registrations have been read, after {@link FIRST_LIST_TIMEOUT_MS} at the latest. */
   async known(): Promise<void> {
-    await Promise.race([this.#known, sleep(FIRST_LIST_MS, this.#abort.signal)]);
+    await Promise.race([this.#firstList, sleep(FIRST_LIST_TIMEOUT_MS, this.#abort.signal)]);
   }
 
-  /** Registers until it is done; a process that starts again finds its host registered. */
+  /** Registers this host, with retries until it succeeds; does nothing where a restarted host is still registered. */
   async register(): Promise<void> {
     const { self } = this.#options;
     await this.known();
-    if (isSame(this.#members.get(self.name), self)) {
+    if (isSameRegistration(this.#members.get(self.name), self)) {
       this.#isRegistered = true;
       return;
     }
@@ -143,7 +143,7 @@
     }
   }
 
-  /** Ends the registering. */
+  /** Stops retries of the registration. */
   stop(): void {
     this.#abort.abort();
   }
@@ -169,27 +169,27 @@
     if (
       created.kind === 'written' ||
       created.object === undefined ||
-      isSame(readMember(created.object), self)
+      isSameRegistration(readMember(created.object), self)
     ) {
       return;
     }
     const { revision } = created.object;
     const replaced = await store.replace(OBJECT_KINDS.members, name, value, revision);
     if (replaced.kind === 'conflict') {
-      throw new Error('registered by another process');
+      throw new Error('another process registered this host at the same time');
     }
   }
 
-  #take({ object, deleted }: ObjectChange): void {
+  #applyChange({ object, deleted }: ObjectChange): void {
     if (deleted) {
       this.#members.delete(object.name);
       this.#candidates = undefined;
     } else {
-      this.#put(object);
+      this.#setMember(object);
     }
   }
 
-  #put(object: StoredObject): void {
+  #setMember(object: StoredObject): void {
     const member = readMember(object);
     if (member !== undefined) {
       this.#members.set(object.name, member);
@@ -197,26 +197,26 @@
     }
   }
 
-  #noteView(): void {
+  #updateView(): void {
     const names = this.#view?.names ?? [];
     if (names.length !== this.#members.size || names.some(name => !this.#members.has(name))) {
       this.#view = { names: [...this.#members.keys()], since: monotonicMs() };
     }
   }
 
-  #candidatesNow(): Candidates {
+  #computeCandidates(): Candidates {
     const { self, seeds } = this.#options;
     if (this.#members.size > 0) {
       return candidatesOf(self, [...this.#members.values()]);
     }
-    const unknown = seeds
+    const seedMembers = seeds
       .filter(address => address !== self.address)
       .map(address => ({ name: address, address, failureDomain: '', power: 0 }));
-    return { above: [], below: unknown, isAmongFirst: true };
+    return { above: [], below: seedMembers, isAmongFirst: true };
   }
 }
 
-function isSame(member: Member | undefined, self: Member): boolean {
+function isSameRegistration(member: Member | undefined, self: Member): boolean {
   return (
     member !== undefined &&
     member.address === self.address &&
--- a/packages/entry/src/peers/peer-messages.ts
+++ b/packages/entry/src/peers/peer-messages.ts
@@ -1,89 +1,90 @@
-/** Messages between entry hosts, on links. */
+/** Types of the messages that entry hosts send each other over links. */
 import type { LimitReport } from '../rate-limits/limit-report.js';
 import type { OutlierReport } from '../routing/outlier-reports.js';
 import type { KindAnswer, KindView } from '../store/kind-reader.js';
 import type { ObjectKind } from '../store/object-store.js';
 
-/** Names of the requests. */
+/** Names of the requests between entry hosts. */
 export const PEER_REQUESTS = {
-  /** Follow a kind of object; tells and brings a tally beside. */
+  /** Reads the objects of a kind; for hosts, request and reply also carry a tally. */
   read: 'read-kind',
-  /** What a failure domain has added up. */
+  /** Reads the tally of a failure domain. */
   tally: 'domain-tally',
-  /** A group is stalled; for the order giver. */
+  /** Reports a stalled replica group to the lease holder. */
   suspect: 'suspect-group',
-  /** Runs that were lost with their hosts, and runs that hosts completed. */
+  /** Reports runs that were lost with their hosts, and runs that hosts completed. */
   runReports: 'run-reports',
-  /** Limits of requests a second that hosts have named. */
+  /** Reports rate limits (requests a second) that upstream hosts have announced. */
   limitReports: 'limit-reports',
-  /** All that the asked one knows of such limits. */
+  /** Reads all such rate limits that the receiver knows. */
   askLimits: 'ask-limits',
-  /** Hosts that are shutting down. */
+  /** Reports hosts that are shutting down. */
   leavingHosts: 'leaving-hosts',
 } as const;
 
-/** Numbers by key. */
+/** Pairs of key and number. */
 export type Counts = readonly (readonly [string, number])[];
 
-/** What entry hosts add up. */
+/** Numbers that are summed over entry hosts. */
 export type Tally = {
-  /** Requests in progress by upstream host. */
+  /** Number of requests in progress, by upstream host. */
   readonly loads: Counts;
   /** Recent work by model; see `demand-meter.ts`. */
   readonly work: Counts;
 };
 
-/** Question for a kind. */
+/** Request for the objects of a kind. */
 export type ReadRequest = {
   readonly kind: ObjectKind;
-  /** Undefined: the whole list. */
+  /** Revision after which changes are requested; undefined requests the whole list. */
   readonly revision: number | undefined;
+  /** Time for which the peer may wait for a change before it answers, in milliseconds. */
   readonly waitMs: number;
   readonly view: KindView;
-  /** Tally of the asking host and its followers, with the kind that brings one back. */
+  /** Tally of the requesting host and its followers; only in requests for hosts, whose replies carry one too. */
   readonly tally: Tally | undefined;
-  /** Number of the last report of an outlier that the asking host has heard from this peer. */
+  /** Sequence number of the last outlier report that the requesting host received from this peer. */
   readonly outliersHeard: number;
 };
 
-/** Answer to a question for a kind. */
+/** Reply to a {@link ReadRequest}. */
 export type ReadReply = {
-  /** Undefined while the answering host knows nothing itself. */
+  /** Undefined while the answering host has not read the kind itself. */
   readonly answer: KindAnswer | undefined;
-  /** False while the answering host has lost the store. */
+  /** False while the answering host gets no confirmation from the store, or must not be followed. */
   readonly inTouch: boolean;
-  /** From when the question arrived to the store's last confirmation, in milliseconds. */
+  /** Time from the arrival of the request to the store's last confirmation, in milliseconds; mostly negative. */
   readonly confirmedAfterMs: number;
-  /** Tally of all hosts but the asking one and its followers; none where it must not follow. */
+  /** Tally of all hosts but the requesting one and its followers; undefined where it must not follow this peer. */
   readonly tally: Tally | undefined;
-  /** Groups that entry hosts lately found stalled or slow and that the asking host has not heard of. */
+  /** Recent reports of stalled or slow groups that the requesting host has not received from this peer. */
   readonly outliers: readonly OutlierReport[];
-  /** Number of the last of these reports. */
+  /** Sequence number of the last of these reports. */
   readonly outlierSequence: number;
-  /** Groups that lack a member; told beside the routing view, which does not show members. */
+  /** Groups that lack a member; sent with the routing view, which does not show members. */
   readonly lackingGroups: readonly string[];
 };
 
-/** Answer to a question for a failure domain's tally. */
+/** Reply to a request for the tally of a failure domain. */
 export type TallyReply = { readonly tally: Tally };
 
-/** Reports for an entry host that this one follows, that follows it, or that it exchanges tallies with. */
+/** Reports to an entry host that the sender follows, that follows the sender, or that it exchanges tallies with. */
 export type ReportsRequest<T> = { readonly reports: readonly T[] };
 
-/** Answer to a question for limits. */
+/** Reply to a request for rate limits. */
 export type LimitsReply = { readonly reports: readonly LimitReport[] };
 
-/** Answer to reports. */
+/** Reply to reports. */
 export type ReportsReply = {
-  /** Names the start of the process that has taken them. */
+  /** Identifies the incarnation of the entry host that received the reports. */
   readonly instance: string;
 };
 
-/** A group that is stalled. */
+/** Report of a stalled group, forwarded towards the lease holder. */
 export type SuspectRequest = {
   readonly service: string;
-  /** What was met, and by which entry host. */
+  /** The fault that was observed, and the entry host that observed it. */
   readonly report: OutlierReport;
-  /** Times this message may still be passed on. */
+  /** Number of times this message may still be forwarded. */
   readonly hops: number;
 };
--- a/packages/entry/src/peers/peer-reader.ts
+++ b/packages/entry/src/peers/peer-reader.ts
@@ -1,4 +1,4 @@
-/** Reads kinds from a peer that follows them. */
+/** Reads the objects of a kind from a peer instead of the store. */
 import type { LinkClient } from '@hingescale/link';
 
 import { elapsedMs } from '../server/elapsed-time.js';
@@ -9,39 +9,39 @@
 import { readReplyOf } from './read-messages.js';
 import type { SharedTally } from './shared-tally.js';
 
-/** Time that a peer has to answer beyond the wait of the question, in milliseconds. */
-const ANSWER_MS = 400;
+/** Time that a peer has to answer beyond the wait that the request allows, in milliseconds. */
+const ANSWER_MARGIN_MS = 400;
 
-/** A reader over one link; what comes beside the objects goes to `heard`. */
+/** Creates a reader over one link; replies that carry more than objects are also passed to `onReply`. */
 export function peerReader(
   name: string,
   link: LinkClient,
   tally: SharedTally,
-  heard: (reply: ReadReply) => void,
+  onReply: (reply: ReadReply) => void,
 ): KindReader {
   let outliersHeard = 0;
   return {
     name,
     hasViews: true,
     read: async (kind, revision, waitMs, view) => {
-      const told = kind === OBJECT_KINDS.hosts ? tally.withFollowers() : undefined;
-      const request: ReadRequest = { kind, revision, waitMs, view, tally: told, outliersHeard };
+      const ownTally = kind === OBJECT_KINDS.hosts ? tally.withFollowers() : undefined;
+      const request: ReadRequest = { kind, revision, waitMs, view, tally: ownTally, outliersHeard };
       const sentAt = elapsedMs();
-      const timeoutMs = waitMs + ANSWER_MS;
+      const timeoutMs = waitMs + ANSWER_MARGIN_MS;
       const reply = readReplyOf(
         await link.request<unknown>(PEER_REQUESTS.read, request, timeoutMs),
       );
       if (reply.answer === undefined) {
-        throw new Error(`${name} knows nothing of ${kind}`);
+        throw new Error(`peer ${name} has not read objects of kind ${kind} yet`);
       }
       if (reply.tally !== undefined) {
         tally.noteFollowed(reply.tally);
       }
-      if (told !== undefined) {
+      if (ownTally !== undefined) {
         outliersHeard = reply.outlierSequence;
-        heard(reply);
+        onReply(reply);
       }
-      // The question arrived after it was sent, so the confirmation is not older than this.
+      // The request arrived after it was sent, so the actual confirmation is at least as recent as this time.
       const confirmedAt = sentAt + reply.confirmedAfterMs;
       return { answer: reply.answer, confirmedAt, inTouch: reply.inTouch };
     },
--- a/packages/entry/src/peers/peer-server.test.ts
+++ b/packages/entry/src/peers/peer-server.test.ts
@@ -1,4 +1,4 @@
-/** What a peer answers to those that follow it. */
+/** Replies of a peer to the hosts that follow it. */
 import type { LinkServer } from '@hingescale/link';
 import { LinkPool } from '@hingescale/link';
 import { expect } from 'chai';
@@ -63,7 +63,7 @@
   });
 }
 
-describe('a question to a peer', () => {
+describe('a read request to a peer', () => {
   const links = new LinkPool({
     key: '',
     identity: { role: 'entry', name: 'asking', failureDomain: 'a' },
@@ -73,9 +73,13 @@
     links.close();
   });
 
-  type Asked = { readonly reply: ReadReply; readonly tookMs: number; readonly tally: SharedTally };
+  type AskResult = {
+    readonly reply: ReadReply;
+    readonly tookMs: number;
+    readonly tally: SharedTally;
+  };
 
-  async function ask(mayBeFollowed: boolean): Promise<Asked> {
+  async function ask(mayBeFollowed: boolean): Promise<AskResult> {
     const watch = await watchInSync();
     const tally = new SharedTally({ loads: () => [['h1', 1]], work: () => [] });
     const server = serverWith({ watchOf: () => watch, tally, mayBeFollowed: () => mayBeFollowed });
@@ -96,7 +100,7 @@
     return { reply, tookMs, tally };
   }
 
-  it('waits for changes where the peer may be followed', async () => {
+  it('waits for changes when the peer may be followed', async () => {
     const { reply, tookMs, tally } = await ask(true);
     expect(reply.inTouch).to.equal(true);
     expect(reply.tally?.loads).to.deep.equal([['h1', 1]]);
@@ -104,7 +108,7 @@
     expect(tookMs).to.be.at.least(WAIT_MS - 20);
   });
 
-  it('of a host that only routes brings the most loaded hosts, not thousands', async () => {
+  it('for the routing view returns the loads of the most loaded hosts only', async () => {
     const watch = await watchInSync();
     const loads = Array.from({ length: 300 }, (_, index) => [`h${index}`, index + 1] as const);
     const server = serverWith({
@@ -114,17 +118,17 @@
     const link = links.to(await server.listen());
     const tally = { loads: [], work: [] };
     const base = { kind: OBJECT_KINDS.configuration, revision: 5, waitMs: 0, outliersHeard: 0 };
-    const told = async (view: string): Promise<ReadReply> =>
+    const replyFor = async (view: string): Promise<ReadReply> =>
       link.request<ReadReply>(PEER_REQUESTS.read, { ...base, tally, view }, WAIT_MS);
-    const routing = (await told('routing')).tally?.loads ?? [];
+    const routing = (await replyFor('routing')).tally?.loads ?? [];
     expect(routing.length).to.be.below(60);
     expect(routing[0]).to.deep.equal(['h299', 300]);
-    expect((await told('full')).tally?.loads).to.have.length(300);
+    expect((await replyFor('full')).tally?.loads).to.have.length(300);
     watch.stop();
     await server.stop();
   });
 
-  it('for a list waits for the first one of a peer that has just started', async () => {
+  it('for a list waits for the first list of a peer that has just started', async () => {
     const watch = await watchInSync();
     const cache = new KindCache();
     const starting = { cache, inTouch: true, view: 'full' } as WatchedKind;
@@ -146,10 +150,10 @@
     await server.stop();
   });
 
-  it('is answered at once where it may not', async () => {
+  it('is answered at once when the peer must not be followed', async () => {
     const { reply, tookMs, tally } = await ask(false);
     expect(reply.inTouch).to.equal(false);
-    // Whoever goes away again must not be added up, nor add up what it is told here.
+    // The requesting host will turn to another peer: its tally must not be added here, and it must get none.
     expect(reply.tally).to.equal(undefined);
     expect(tally.loads.ofOthers('h1')).to.equal(0);
     expect(tookMs).to.be.below(WAIT_MS / 2);
--- a/packages/entry/src/peers/peer-server.ts
+++ b/packages/entry/src/peers/peer-server.ts
@@ -1,4 +1,4 @@
-/** Answers the questions of peers. */
+/** Serves the requests of peers. */
 import type { LinkIdentity } from '@hingescale/link';
 import { LinkServer } from '@hingescale/link';
 
@@ -32,43 +32,46 @@
 } from './read-messages.js';
 import type { SharedTally } from './shared-tally.js';
 
-/** Options of a peer server. */
 export type PeerServerOptions = {
-  /** `ip:port`; port 0 takes a free one. */
+  /** `ip:port` to listen on; port 0 selects a free port. */
   readonly listen: string;
+  /** Key shared by all entry hosts; empty where the network is trusted. */
   readonly key: string;
-  /** Of this host. */
+  /** Failure domain of this host. */
   readonly failureDomain: string;
+  /** Returns the watch of a kind; undefined where this host does not watch it. */
   readonly watchOf: (kind: ObjectKind) => WatchedKind | undefined;
   readonly tally: SharedTally;
   readonly outliers: OutlierReports;
-  /** A peer has told of lost runs. */
+  /** Called with reports of lost and completed runs that a peer sent. */
   readonly runReportsHeard: (reports: readonly RunReport[]) => void;
-  /** A peer has told of limits that hosts have named. */
+  /** Called with reports of rate limits that a peer sent, and with the name of that peer. */
   readonly limitReportsHeard: (reports: readonly LimitReport[], from: string) => void;
-  /** A peer has told of hosts that are shutting down. */
+  /** Called with the hosts that a peer reported as shutting down. */
   readonly leavingHeard: (hosts: readonly HostIncarnation[]) => void;
-  /** The limits that are known here. */
+  /** Returns the rate limits that this host knows. */
   readonly limitReports: () => readonly LimitReport[];
-  /** Names this start of the process. */
+  /** Identifies the incarnation of this entry host. */
   readonly instance: string;
-  /** False while peers are better off without this host. */
+  /** Returns false while peers must not follow this host. */
   readonly mayBeFollowed: () => boolean;
+  /** Called with a report of a stalled group that a peer sent. */
   readonly suspected: (request: SuspectRequest) => void;
-  /** True for hosts that requests may go to, by their name. */
+  /** Returns true for the names of hosts that requests may be sent to. */
   readonly isRoutable: (name: string) => boolean;
+  /** Returns the groups that lack a member. */
   readonly lackingGroups: () => readonly string[];
 };
 
-/** Longest wait that a question may ask for, in milliseconds. */
+/** Longest wait that a request may ask for, in milliseconds. */
 const MAX_WAIT_MS = 10_000;
 /**
- * Hosts whose load is told to those who only route: they are the ones to stay away from, the others are
- * all less loaded. Of 330 groups the loads of all are 6 kB, four times a second to each entry host.
+ * Number of upstream hosts whose load is sent to entry hosts that only route. The most loaded ones are sent, since
+ * routing has to avoid these. The loads of all of 330 groups would be 6 kB, four times a second to each entry host.
  */
-const MOST_LOADS = 48;
+const MAX_ROUTING_LOADS = 48;
 
-/** Starts no task of its own: a link server whose handlers read what is known here. */
+/** Creates a link server whose handlers answer from the state of this host; it runs no background task. */
 export function createPeerServer(options: PeerServerOptions): LinkServer {
   const { listen, key, failureDomain, tally, suspected } = options;
   const views = new Map<KindCache, RoutingView>();
@@ -123,38 +126,38 @@
   const arrivedAt = elapsedMs();
   const watch = watchOf(request.kind);
   const cache = watch?.cache;
-  // Two hosts that try each other in turn would each add the other's sum to its own, again and again.
+  // Otherwise two hosts that try each other in turn would repeatedly add each other's sums to their own.
   if (request.tally !== undefined && mayBeFollowed()) {
     tally.noteFollower(peer.name, peer.failureDomain, request.tally);
   }
-  // Whoever asks a host that must not be followed is better off elsewhere, and should know at once.
-  // A host that has lost the store for a moment keeps the question: it mostly regains it meanwhile,
-  // while its followers would all go to the store.
+  // A host that must not be followed answers at once, so that the requesting host can turn to another one.
+  // A host that has just lost the store still holds the request: it mostly reaches the store again within the wait,
+  // while a quick answer would send all its followers to the store.
   if (request.revision !== undefined && cache?.revision !== undefined && mayBeFollowed()) {
-    await waitForNews(options, cache, answerOf, request);
+    await waitForChange(options, cache, answerOf, request);
   }
-  // Whoever starts at the same moment as this host finds here what this host is about to learn.
+  // A peer that starts at the same time as this host gets the first list as soon as this host has read it.
   if (request.revision === undefined && mayBeFollowed()) {
     await cache?.waitForList(Math.min(request.waitMs, MAX_WAIT_MS));
   }
   const all = tally.allBut(peer.name);
-  // Whoever adds up for others needs all of it; to route, the most loaded hosts are enough.
-  const told = request.view === 'full' ? all : { ...all, loads: mostLoaded(all.loads) };
+  // A host that sums loads for its followers needs all of them; for routing, the most loaded hosts are enough.
+  const visible = request.view === 'full' ? all : { ...all, loads: mostLoaded(all.loads) };
   const hasView = request.view === 'routing' || watch?.view === 'full';
   return {
     answer: cache === undefined || !hasView ? undefined : answerOf(cache, request),
     inTouch: mayBeFollowed() && (watch?.inTouch ?? false),
     confirmedAfterMs: (cache?.confirmedAt ?? -Infinity) - arrivedAt,
-    tally: request.tally !== undefined && mayBeFollowed() ? told : undefined,
+    tally: request.tally !== undefined && mayBeFollowed() ? visible : undefined,
     outliers: request.tally === undefined ? [] : outliers.since(request.outliersHeard),
     outlierSequence: outliers.sequence,
     lackingGroups: request.view === 'routing' ? lackingGroups() : [],
   };
 }
 
-// Changes of hosts that the asking one does not follow are no news, and at thousands of hosts come all
-// the time.
-async function waitForNews(
+// Waits until there is something new for the requesting host. Changes outside its view do not count: with thousands
+// of hosts they arrive all the time.
+async function waitForChange(
   { outliers }: PeerServerOptions,
   cache: KindCache,
   answerOf: (cache: KindCache, request: ReadRequest) => KindAnswer | undefined,
@@ -169,9 +172,9 @@
     }
     await cache.waitBeyond(seen, leftMs);
     const answer = answerOf(cache, request);
-    const isNews = answer?.kind !== 'changes' || answer.changes.length > 0;
-    const hearsOutliers = request.tally !== undefined;
-    if (isNews || (hearsOutliers && outliers.sequence !== request.outliersHeard)) {
+    const isChange = answer?.kind !== 'changes' || answer.changes.length > 0;
+    const wantsOutliers = request.tally !== undefined;
+    if (isChange || (wantsOutliers && outliers.sequence !== request.outliersHeard)) {
       return;
     }
     seen = cache.revision ?? seen;
@@ -179,8 +182,8 @@
 }
 
 function mostLoaded(loads: Counts): Counts {
-  if (loads.length <= MOST_LOADS) {
+  if (loads.length <= MAX_ROUTING_LOADS) {
     return loads;
   }
-  return [...loads].sort(([, a], [, b]) => b - a).slice(0, MOST_LOADS);
+  return [...loads].sort(([, a], [, b]) => b - a).slice(0, MAX_ROUTING_LOADS);
 }
--- a/packages/entry/src/peers/peers.test.ts
+++ b/packages/entry/src/peers/peers.test.ts
@@ -59,33 +59,42 @@
 }
 
 describe('suspicions between peers', () => {
-  it('reach the order giver by the followed host, whoever gave orders before', async () => {
+  it('reach the lease holder through the followed host when the known lease holder is outdated', async () => {
     const first = { name: 'first', address: await freeAddress(), failureDomain: 'a', power: 2 };
     const self = { name: 'self', address: await freeAddress(), failureDomain: 'a', power: 1 };
-    const gone = { name: 'gone', address: await freeAddress(), failureDomain: 'a', power: 0.5 };
-    const heard: SuspectRequest[] = [];
-    const giver = peersOf(first, {
+    const formerHolder = {
+      name: 'formerHolder',
+      address: await freeAddress(),
+      failureDomain: 'a',
+      power: 0.5,
+    };
+    const received: SuspectRequest[] = [];
+    const holder = peersOf(first, {
       orderGiver: () => first.name,
-      suspected: request => heard.push(request),
+      suspected: request => received.push(request),
     });
-    const follower = peersOf(self, { orderGiver: () => gone.name });
-    const objects = [first, self, gone].map(value => ({ name: value.name, revision: 1, value }));
+    const follower = peersOf(self, { orderGiver: () => formerHolder.name });
+    const objects = [first, self, formerHolder].map(value => ({
+      name: value.name,
+      revision: 1,
+      value,
+    }));
     follower.membership.observer.listed({ objects, revision: 1 });
-    await giver.start();
+    await holder.start();
     await follower.start();
     follower.readers.choose();
     follower.suspect('lm', GROUP);
     await new Promise(resolve => setTimeout(resolve, 200));
-    expect(heard.map(({ service, report }) => `${service} ${report.target}`)).to.deep.equal([
+    expect(received.map(({ service, report }) => `${service} ${report.target}`)).to.deep.equal([
       'lm g1',
     ]);
     follower.end();
-    giver.end();
+    holder.end();
   });
 });
 
 describe('outliers between peers', () => {
-  it('are known to a waiting follower at once when two others have met them', async () => {
+  it('reach a waiting follower at once when two other hosts have observed them', async () => {
     const members = await Promise.all(
       ['e1', 'e2', 'e3', 'e4'].map(async (name, index) => ({
         name,
@@ -98,11 +107,11 @@
     const cache = new KindCache();
     cache.takeList({ objects: [], revision: 5 });
     const watch = { cache, inTouch: true, view: 'full' } as WatchedKind;
-    const cutOff: string[] = [];
+    const unreachable: string[] = [];
     const all = members.map(self =>
       peersOf(self, {
         watchOf: () => watch,
-        unreachable: (domain, host) => cutOff.push(`${self.name}: ${domain} ${host}`),
+        unreachable: (domain, host) => unreachable.push(`${self.name}: ${domain} ${host}`),
       }),
     );
     await Promise.all(all.map(peers => peers.start()));
@@ -118,15 +127,15 @@
     await waiting;
     expect(monotonicMs() - startedAt).to.be.below(1_000);
     expect(fourth.outliers.verdict('g1', 'b', 'a', monotonicMs())?.reporters).to.equal(2);
-    expect(cutOff).to.include('e4: b h1');
+    expect(unreachable).to.include('e4: b h1');
     all.forEach(peers => {
       peers.end();
     });
   });
 });
 
-describe('the hosts that a host follows', () => {
-  it('are all for the first of a failure domain, and the routable ones for the others', async () => {
+describe('the view of hosts that an entry host needs', () => {
+  it('is full on the first hosts of a failure domain and the lease holder, and routing on others', async () => {
     const members = await Promise.all(
       Array.from({ length: 5 }, async (_, index) => ({
         name: `e${index}`,
@@ -148,7 +157,7 @@
 });
 
 describe('candidates for the lease', () => {
-  it('are the first hosts of each failure domain, whomever they follow', async () => {
+  it('are the first hosts of each failure domain, whichever host they follow', async () => {
     const members = await Promise.all(
       ['a1', 'a2', 'b1', 'b2'].map(async name => ({
         name,
--- a/packages/entry/src/peers/peers.ts
+++ b/packages/entry/src/peers/peers.ts
@@ -1,6 +1,6 @@
 /**
- * What entry hosts tell each other: the objects that they follow, what they add up, and stalled
- * groups.
+ * Connects this entry host to its peers, with which it exchanges objects of the store, tallies, reports, and
+ * suspicions (reports of stalled groups).
  */
 import type { LinkServer } from '@hingescale/link';
 import { LinkPool } from '@hingescale/link';
@@ -30,66 +30,66 @@
 import { SharedReports } from './shared-reports.js';
 import { SharedTally } from './shared-tally.js';
 
-/** Options of the peers. */
 export type PeersOptions = ReportSources & {
   readonly self: Member;
-  /** Addresses (`ip:port`) of some peers; they may be gone. */
+  /** Addresses (`ip:port`) of some peers; some of these peers may have been removed. */
   readonly seeds: readonly string[];
-  /** Shared by all entry hosts; empty where the network is trusted. */
+  /** Key shared by all entry hosts; empty where the network is trusted. */
   readonly key: string;
   readonly store: ObjectStore;
-  /** What this host knows itself, for its followers. */
+  /** Returns this host's own watch of a kind, from which its followers are answered. */
   readonly watchOf: (kind: ObjectKind) => WatchedKind | undefined;
-  /** Requests of this host in progress at upstream hosts. */
+  /** Returns the number of requests of this host in progress, by upstream host. */
   readonly ownLoads: () => Counts;
-  /** Recent work of this host's requests by model. */
+  /** Returns the recent work of this host's requests, by model. */
   readonly ownWork: () => Counts;
-  /** Name of the entry host that gives orders, as far as it is known. */
+  /** Returns the name of the lease holder; undefined while it is not known. */
   readonly orderGiver: () => string | undefined;
-  /** This host gives orders, and a group is reported as stalled. */
+  /** Called where this host is the lease holder and a group is reported as stalled. */
   readonly suspected: (request: SuspectRequest) => void;
-  /** True for hosts that requests may go to, by their name. */
+  /** Returns true for the names of hosts that requests may be sent to. */
   readonly isRoutable: (name: string) => boolean;
-  /** Groups that lack a member, as far as this host sees members. */
+  /** Returns the groups that lack a member, as far as this host sees members. */
   readonly lackingGroups: () => readonly string[];
-  /** An entry host of the own failure domain could not connect to a host of another or the own one. */
+  /** Called when an entry host of the own failure domain could not connect to a host in this or another one. */
   readonly unreachable: (failureDomain: string, hostId: string) => void;
-  /** A group was ejected that was not before. */
+  /** Called when a group that was not ejected before has been ejected. */
   readonly ejected: () => void;
-  /** Other entry hosts have told of lost runs. */
+  /** Called with reports of lost and completed runs from other entry hosts. */
   readonly runReportsHeard: (reports: readonly RunReport[]) => void;
-  /** Other entry hosts have told of hosts that are shutting down. */
+  /** Called with hosts that other entry hosts reported as shutting down. */
   readonly leavingHeard: (hosts: readonly HostIncarnation[]) => void;
-  /** Names this start of the process. */
+  /** Identifies the incarnation of this entry host. */
   readonly instance: string;
   readonly log: Log;
   readonly counters: Counters;
 };
 
-/** A group that this host has met, without who has met it. */
+/** A fault of a group that this host observed; the reporter and the age of the report are added later. */
 export type SuspectedGroup = Omit<OutlierReport, 'reporter' | 'reporterDomain' | 'ageMs'>;
 
+/** Period in which a host that follows the store requests tallies and shares reports, in milliseconds. */
 const EXCHANGE_PERIOD_MS = 250;
-/** The same for hosts that follow a peer, which brings the tally of all, in milliseconds. */
+/** Period of a host that follows a peer and receives the tally of all hosts from it, in milliseconds. */
 const IDLE_EXCHANGE_PERIOD_MS = 1_000;
 const REQUEST_TIMEOUT_MS = 400;
-/** The same group is not reported again within this time, in milliseconds. */
+/** Shortest time between two reports of the same group by this host, in milliseconds. */
 const SUSPICION_PERIOD_MS = 500;
 /**
- * Entry hosts up to which each starts from the store: 100 lists of 300 hosts are 10 MB, a tenth of a
- * second on a link of 1,000 Mbit/s.
+ * Largest number of entry hosts with which each reads its first list from the store: 100 lists of 300 hosts are
+ * 10 MB, which take a tenth of a second on a link of 1,000 Mbit/s.
  */
-const MOST_MEMBERS_AT_STORE = 100;
-/** A suspicion goes up to two followed hosts, and from there to the host that gives orders. */
+const MAX_MEMBERS_AT_STORE = 100;
+/** Number of times a suspicion may be sent on: along two followed hosts, and from there to the lease holder. */
 const SUSPICION_HOPS = 3;
 
-/** The peers of this entry host. */
+/** Links this entry host to its peers, serves their requests, and selects the readers of objects. */
 export class Peers {
-  /** The registered entry hosts. */
+  /** Registrations of all entry hosts. */
   readonly membership: Membership;
-  /** What all of them have added up, as far as it is known here. */
+  /** Sums over all entry hosts, as last reported to this one. */
   readonly tally: SharedTally;
-  /** Groups that entry hosts have found stalled or slow. */
+  /** Reports of groups that entry hosts observed as stalled or slow. */
   readonly outliers = new OutlierReports();
   readonly #options: PeersOptions;
   readonly #links: LinkPool;
@@ -97,8 +97,8 @@
   readonly #store: KindReader;
   readonly #choice: PeerReaderChoice;
   readonly #readers = new Map<string, KindReader>();
-  readonly #suspectedAt = new Map<string, number>();
-  #toldLacking: ReadonlySet<string> = new Set();
+  readonly #reportedAt = new Map<string, number>();
+  #reportedLacking: ReadonlySet<string> = new Set();
   readonly #abort = new AbortController();
   readonly #suspicionFailures: FailureSeries;
   readonly #tallyFailures: FailureSeries;
@@ -106,8 +106,8 @@
 
   constructor(options: PeersOptions) {
     this.#options = options;
-    this.#suspicionFailures = new FailureSeries(options.log, 'pass a suspicion on');
-    this.#tallyFailures = new FailureSeries(options.log, 'ask a failure domain for its tally');
+    this.#suspicionFailures = new FailureSeries(options.log, 'forward a suspicion');
+    this.#tallyFailures = new FailureSeries(options.log, 'request the tally of a failure domain');
     const { self, seeds, key, store, watchOf, log } = options;
     this.membership = new Membership({ self, seeds, store, log });
     this.tally = new SharedTally({ loads: options.ownLoads, work: options.ownWork });
@@ -132,7 +132,7 @@
       lackingGroups: options.lackingGroups,
       suspected: request => {
         this.#noteOutliers([request.report]);
-        this.#passOn(request);
+        this.#forward(request);
       },
     });
     this.#store = storeReader(store);
@@ -149,7 +149,7 @@
     });
   }
 
-  /** Where kinds are read from. */
+  /** Selects the reader of each read: a peer or the store. */
   get readers(): ReaderChoice {
     return this.#choice;
   }
@@ -160,12 +160,12 @@
   }
 
   /**
-   * True for the first host of each failure domain, as far as it can be reached. Only these look at
-   * the lease: one of them has always seen it long enough to take it over as soon as it lapses.
+   * True for the first reachable host of each failure domain. Only these hosts observe the lease, so that one of
+   * them has always observed it for long enough to acquire it as soon as it lapses.
    */
   get mayLead(): boolean {
     const { failureDomain } = this.#options.self;
-    // During an outage of the store every host would take over from the others, and call it in vain.
+    // During an outage of the store each host would become a candidate in turn and call the store to no effect.
     if (this.#choice.isAvoided(this.#store.name)) {
       return false;
     }
@@ -177,10 +177,10 @@
   }
 
   /**
-   * How much of the hosts this host needs: all where others follow it, and among the first of a failure
-   * domain, who may have to give orders. A successor that has followed all hosts knows which model each
-   * free one can rejoin in 0.2 s, which entries do not tell. Whether the hosts before this one answer
-   * does not matter: when hundreds start at once, each would count itself among the first.
+   * The view of the hosts that this entry host needs: the full one where others follow it, and on the first hosts of
+   * a failure domain, which may become lease holder. A new lease holder that has followed all hosts knows which model
+   * each free host can rejoin in 0.2 s, which the entries do not show. Whether the higher-ranked hosts answer is
+   * ignored: when hundreds of hosts start at once, each would otherwise count itself among the first.
    */
   get hostsView(): KindView {
     const { self, orderGiver } = this.#options;
@@ -189,56 +189,56 @@
     return leads || isAmongFirst || this.tally.loads.hasFollowers ? 'full' : 'routing';
   }
 
-  /** Groups that lack a member, as the followed host has told. */
+  /** Groups that lack a member, as last reported by the followed host. */
   get toldLacking(): ReadonlySet<string> {
-    return this.#toldLacking;
+    return this.#reportedLacking;
   }
 
   /**
-   * Whom a host that starts has its first list of hosts from. The store answers at once, while peers
-   * may be starting as well, a quarter of a second later when all have lost power. But hundreds of
-   * hosts that start at once would ask it for megabytes each.
+   * The reader of the first list of hosts after a start; undefined selects it as usual. The store answers at once,
+   * while peers may still be starting: after a power failure of all hosts they answer a quarter of a second later.
+   * With hundreds of entry hosts, peers are read, since each host would request megabytes from the store at once.
    */
   get firstReader(): KindReader | undefined {
-    return this.membership.count <= MOST_MEMBERS_AT_STORE ? this.#store : undefined;
+    return this.membership.count <= MAX_MEMBERS_AT_STORE ? this.#store : undefined;
   }
 
-  /** Listens for peers, registers this host, and begins to exchange tallies. */
+  /** Starts to listen for peers, to register this host, and to exchange tallies and reports. */
   async start(): Promise<void> {
     await this.#server.listen();
     void this.membership.register();
     void this.#exchange();
   }
 
-  /** Reports a stalled group to the order giver. */
+  /** Reports a stalled group to the lease holder. */
   suspect(service: string, group: SuspectedGroup): void {
     const now = monotonicMs();
-    if (now - (this.#suspectedAt.get(group.target) ?? -Infinity) < SUSPICION_PERIOD_MS) {
+    if (now - (this.#reportedAt.get(group.target) ?? -Infinity) < SUSPICION_PERIOD_MS) {
       return;
     }
-    this.#suspectedAt.set(group.target, now);
+    this.#reportedAt.set(group.target, now);
     const { name: reporter, failureDomain: reporterDomain } = this.#options.self;
     const report: OutlierReport = { ...group, reporter, reporterDomain, ageMs: 0 };
     this.#noteOutliers([report]);
-    this.#passOn({ service, report, hops: SUSPICION_HOPS });
+    this.#forward({ service, report, hops: SUSPICION_HOPS });
   }
 
-  /** Tells other entry hosts of new run reports. */
+  /** Sends new run reports to other entry hosts. */
   shareRunReports(): void {
     this.#reports.shareRuns();
   }
 
-  /** Tells other entry hosts of new limits that hosts have named. */
+  /** Sends new reports of rate limits to other entry hosts. */
   shareLimits(): void {
     this.#reports.shareLimits();
   }
 
-  /** Tells other entry hosts of hosts that have said that they are shutting down. */
+  /** Sends reports of hosts that have announced their shutdown to other entry hosts. */
   shareLeaving(): void {
     this.#reports.shareLeaving();
   }
 
-  /** Closes all links. */
+  /** Stops all tasks and closes all links. */
   end(): void {
     this.#abort.abort();
     this.#reports.stop();
@@ -253,56 +253,57 @@
       const link = this.#links.to(member.address);
       reader = peerReader(member.address, link, this.tally, ({ outliers, lackingGroups }) => {
         this.#noteOutliers(outliers);
-        this.#toldLacking = new Set(lackingGroups);
+        this.#reportedLacking = new Set(lackingGroups);
       });
       this.#readers.set(member.address, reader);
     }
     return reader;
   }
 
-  // Hosts that follow this one hear of a new outlier at once: it travels with the answers that they
-  // wait for, in a few milliseconds instead of the quarter of a second between two questions.
+  // Followers of this host receive a new outlier within a few milliseconds, with the replies that they are waiting
+  // for, instead of after the quarter of a second between two requests.
   #noteOutliers(reports: readonly OutlierReport[]): void {
     const { self, unreachable } = this.#options;
-    let isNews = false;
+    let hasNewEjection = false;
     for (const report of reports) {
       const outcome = this.outliers.note(report);
-      isNews ||= outcome === 'ejected';
-      const fromHere = report.reporterDomain === self.failureDomain;
-      if (outcome !== 'known' && report.isUnreachable && fromHere) {
+      hasNewEjection ||= outcome === 'ejected';
+      const isFromOwnDomain = report.reporterDomain === self.failureDomain;
+      if (outcome !== 'known' && report.isUnreachable && isFromOwnDomain) {
         unreachable(report.targetDomain, report.targetHost);
       }
     }
-    if (isNews) {
+    if (hasNewEjection) {
       this.#options.counters.count('outliers_ejected_total');
       this.#options.watchOf(OBJECT_KINDS.hosts)?.cache.wakeAll();
       this.#options.ejected();
     }
   }
 
-  // All whom this host exchanges anything with: whom it follows and who follows it, and whoever follows the
-  // store also the host that gives orders, and failure domains that nobody of follows it.
+  // Addresses of all hosts that this one exchanges reports with: the peer it follows and its own followers. A host
+  // that follows the store adds the lease holder and a host of each failure domain without followers of this host.
   #neighbours(): readonly string[] {
     const { self, orderGiver } = this.#options;
     const { above } = this.membership.candidates;
     const followed = above.find(member => !this.#choice.isAvoided(this.#readerOf(member).name));
-    const beside = [this.membership.get(orderGiver() ?? ''), ...this.#firstReachable()];
-    const upwards = followed === undefined || this.followsStore ? beside : [followed];
+    const storeNeighbours = [this.membership.get(orderGiver() ?? ''), ...this.#firstReachable()];
+    const aboveNeighbours =
+      followed === undefined || this.followsStore ? storeNeighbours : [followed];
     const followers = this.tally.loads.followers.map(name => this.membership.get(name));
-    const addresses = [...upwards, ...followers].flatMap(member => member?.address ?? []);
+    const addresses = [...aboveNeighbours, ...followers].flatMap(member => member?.address ?? []);
     return [...new Set(addresses)].filter(address => address !== self.address);
   }
 
-  #passOn(request: SuspectRequest): void {
+  #forward(request: SuspectRequest): void {
     const { self, orderGiver, suspected, counters } = this.#options;
-    const giver = orderGiver();
-    if (giver === self.name) {
+    const holder = orderGiver();
+    if (holder === self.name) {
       suspected(request);
       return;
     }
-    // Only a host that follows the store looks at the lease; what others saw of it may be old.
-    const upToDate = giver !== undefined && this.followsStore;
-    const known = upToDate ? this.membership.get(giver) : undefined;
+    // Only a host that follows the store observes the lease; the lease holder known to other hosts may be outdated.
+    const isHolderCurrent = holder !== undefined && this.followsStore;
+    const known = isHolderCurrent ? this.membership.get(holder) : undefined;
     const above = this.membership.candidates.above.find(
       member => !this.#choice.isAvoided(this.#readerOf(member).name),
     );
@@ -311,10 +312,10 @@
       counters.count('suspicions_dropped_total');
       return;
     }
-    const passed: SuspectRequest = { ...request, hops: request.hops - 1 };
+    const forwarded: SuspectRequest = { ...request, hops: request.hops - 1 };
     this.#links
       .to(to.address)
-      .request(PEER_REQUESTS.suspect, passed, REQUEST_TIMEOUT_MS)
+      .request(PEER_REQUESTS.suspect, forwarded, REQUEST_TIMEOUT_MS)
       .then(() => {
         this.#suspicionFailures.succeeded();
       })
@@ -324,15 +325,15 @@
       });
   }
 
-  // Hosts that follow the store ask failure domains of which nobody follows them for their tally.
+  // A host that follows the store requests the tallies of failure domains in which no host follows it.
   async #exchange(): Promise<void> {
     while (!this.#abort.signal.aborted) {
       const periodMs = this.followsStore ? EXCHANGE_PERIOD_MS : IDLE_EXCHANGE_PERIOD_MS;
       await sleep(periodMs, this.#abort.signal);
       if (this.followsStore) {
-        await Promise.all(this.#firstReachable().map(member => this.#askTally(member)));
+        await Promise.all(this.#firstReachable().map(member => this.#requestTally(member)));
       }
-      // There may be other neighbours now, who have not heard of them.
+      // Neighbours that are new since the last round have not received the reports yet.
       this.#reports.shareAll();
     }
   }
@@ -351,7 +352,7 @@
     return [...chosen.values()];
   }
 
-  async #askTally(member: Member): Promise<void> {
+  async #requestTally(member: Member): Promise<void> {
     const reader = this.#readerOf(member);
     try {
       const link = this.#links.to(member.address);
--- a/packages/entry/src/peers/read-messages.test.ts
+++ b/packages/entry/src/peers/read-messages.test.ts
@@ -1,4 +1,4 @@
-/** Messages of peers that are damaged, of another version or none at all. */
+/** Parsing of messages of peers: valid ones, damaged ones, ones of other versions, and arbitrary values. */
 import { expect } from 'chai';
 import fc from 'fast-check';
 
@@ -66,7 +66,7 @@
   workspace: undefined,
 };
 
-/** Any value, or a message with one field, at any depth, that is something else. */
+/** Generates arbitrary values, and copies of a message with one field, at any depth, replaced by any value. */
 function damaged(message: object): fc.Arbitrary<unknown> {
   const paths = pathsOf(message);
   return fc.oneof(
@@ -90,7 +90,7 @@
   ]);
 }
 
-function readsOrRefuses(read: (value: unknown) => unknown, message: object): void {
+function expectParsedOrRejected(read: (value: unknown) => unknown, message: object): void {
   fc.assert(
     fc.property(damaged(message), value => {
       try {
@@ -104,7 +104,7 @@
 }
 
 describe('messages of peers', () => {
-  it('are read as they were sent', () => {
+  it('are parsed as they were sent', () => {
     expect(readRequestOf(REQUEST)).to.deep.equal(REQUEST);
     expect(readReplyOf(REPLY)).to.deep.equal(REPLY);
     const suspicion = { service: 'lm', report: OUTLIER, hops: 2 };
@@ -124,18 +124,18 @@
     expect(readReportsReply({ instance: 'x' })).to.deep.equal({ instance: 'x' });
   });
 
-  it('are refused or read, whatever they hold', () => {
-    readsOrRefuses(readRequestOf, REQUEST);
-    readsOrRefuses(readReplyOf, REPLY);
-    readsOrRefuses(readSuspicion, { service: 'lm', report: OUTLIER, hops: 2 });
-    readsOrRefuses(readRunReports, { reports: [CRASH, CRASH] });
-    readsOrRefuses(readLimitReports, { reports: [LIMIT, LIMIT] });
-    readsOrRefuses(readLeavingHosts, { reports: [LIMIT.host] });
-    readsOrRefuses(readTallyReply, { tally: REPLY.tally });
-    readsOrRefuses(readReportsReply, { instance: 'x' });
+  it('are parsed or rejected with PeerMessageError, whatever their content', () => {
+    expectParsedOrRejected(readRequestOf, REQUEST);
+    expectParsedOrRejected(readReplyOf, REPLY);
+    expectParsedOrRejected(readSuspicion, { service: 'lm', report: OUTLIER, hops: 2 });
+    expectParsedOrRejected(readRunReports, { reports: [CRASH, CRASH] });
+    expectParsedOrRejected(readLimitReports, { reports: [LIMIT, LIMIT] });
+    expectParsedOrRejected(readLeavingHosts, { reports: [LIMIT.host] });
+    expectParsedOrRejected(readTallyReply, { tally: REPLY.tally });
+    expectParsedOrRejected(readReportsReply, { instance: 'x' });
   });
 
-  it('lose only the entries of lists that can not be read', () => {
+  it('lose only those entries of lists that are invalid', () => {
     const object = { name: 'h1', revision: 1, value: null };
     const objects = [null, 7, { name: 4 }, { name: 'x', revision: 'y' }, object];
     const answer = { kind: 'list', list: { objects, revision: 9 } };
--- a/packages/entry/src/peers/read-messages.ts
+++ b/packages/entry/src/peers/read-messages.ts
@@ -1,6 +1,6 @@
 /**
- * Reads messages of peers, whatever they hold: a peer may be of another version, and whoever reaches the port may
- * send anything. What is wrong as a whole is refused; of lists, entries that can not be read are left out.
+ * Parses and validates messages of peers. A peer may run another version, and any process that reaches the port may
+ * send anything. A message that is invalid as a whole is rejected; invalid entries of lists are left out.
  */
 import type { HostIncarnation } from '../hosts/host-entry.js';
 import type { RunReport } from '../quarantine/run-report.js';
@@ -18,12 +18,12 @@
   Tally,
 } from './peer-messages.js';
 
-/** A message that is not what its type says. */
+/** Thrown for a message that does not have the fields of its type. */
 export class PeerMessageError extends Error {
   readonly reason = 'unreadable';
 
   constructor(message: string) {
-    super(`message of a peer can not be read: ${message}`);
+    super(`invalid message from a peer: ${message}`);
     this.name = 'PeerMessageError';
   }
 }
@@ -31,78 +31,78 @@
 type Fields = Readonly<Record<string, unknown>>;
 
 const KINDS: readonly unknown[] = Object.values(OBJECT_KINDS);
-/** Passes of a suspicion that are believed; more than any tree of entry hosts is deep. */
-const MOST_HOPS = 8;
+/** Upper bound of the hops that a suspicion may claim; greater than the depth of any tree of entry hosts. */
+const MAX_HOPS = 8;
 
-/** Reads a question for a kind. */
+/** Parses a request for the objects of a kind. */
 export function readRequestOf(value: unknown): ReadRequest {
-  const fields = fieldsOf(value, 'question');
+  const fields = fieldsOf(value, 'read request');
   const { kind, revision, waitMs, view, tally, outliersHeard } = fields;
   const isKnown = KINDS.includes(kind) && (view === 'full' || view === 'routing');
   if (!isKnown || !isNumber(waitMs) || (revision !== undefined && !isNumber(revision))) {
-    throw new PeerMessageError('question');
+    throw new PeerMessageError('read request');
   }
   return {
     ...(fields as ReadRequest),
-    tally: tally === undefined ? undefined : readTally(tally),
+    tally: tally === undefined ? undefined : parseTally(tally),
     outliersHeard: isNumber(outliersHeard) ? outliersHeard : 0,
   };
 }
 
-/** Reads the answer to a question for a kind. */
+/** Parses the reply to a request for the objects of a kind. */
 export function readReplyOf(value: unknown): ReadReply {
   const fields = fieldsOf(value, 'answer');
   const { answer, inTouch, confirmedAfterMs, tally, outliers, outlierSequence } = fields;
   if (typeof confirmedAfterMs !== 'number' || Number.isNaN(confirmedAfterMs)) {
-    throw new PeerMessageError('answer without an age');
+    throw new PeerMessageError('read reply without a time of confirmation');
   }
   return {
-    answer: answer === undefined ? undefined : readAnswer(answer),
+    answer: answer === undefined ? undefined : parseAnswer(answer),
     inTouch: inTouch === true,
     confirmedAfterMs,
-    tally: tally === undefined ? undefined : readTally(tally),
+    tally: tally === undefined ? undefined : parseTally(tally),
     outliers: listOf(outliers).filter(isOutlierReport),
     outlierSequence: isNumber(outlierSequence) ? outlierSequence : 0,
-    lackingGroups: listOf(fields['lackingGroups']).filter(isText),
+    lackingGroups: listOf(fields['lackingGroups']).filter(isString),
   };
 }
 
-/** Reads a suspicion that is passed on. */
+/** Parses a suspicion. */
 export function readSuspicion(value: unknown): SuspectRequest {
   const { service, report, hops } = fieldsOf(value, 'suspicion');
-  if (!isText(service) || !isOutlierReport(report) || !isNumber(hops)) {
+  if (!isString(service) || !isOutlierReport(report) || !isNumber(hops)) {
     throw new PeerMessageError('suspicion');
   }
-  return { service, report, hops: Math.min(hops, MOST_HOPS) };
+  return { service, report, hops: Math.min(hops, MAX_HOPS) };
 }
 
-/** Reads the tally of a failure domain. */
+/** Parses the reply with the tally of a failure domain. */
 export function readTallyReply(value: unknown): Tally {
-  return readTally(fieldsOf(value, 'tally')['tally']);
+  return parseTally(fieldsOf(value, 'tally')['tally']);
 }
 
-/** Reads run reports. */
+/** Parses reports of lost and completed runs. */
 export function readRunReports(value: unknown): readonly RunReport[] {
   return listOf(fieldsOf(value, 'run reports')['reports']).filter(isRunReport);
 }
 
-/** Reads reports of limits. */
+/** Parses reports of rate limits. */
 export function readLimitReports(value: unknown): readonly LimitReport[] {
-  return listOf(fieldsOf(value, 'limit reports')['reports']).filter(isLimitReport);
+  return listOf(fieldsOf(value, 'rate limit reports')['reports']).filter(isLimitReport);
 }
 
-/** Reads the hosts that are shutting down. */
+/** Parses reports of hosts that are shutting down. */
 export function readLeavingHosts(value: unknown): readonly HostIncarnation[] {
   return listOf(fieldsOf(value, 'leaving hosts')['reports']).filter(isIncarnation);
 }
 
-/** Reads the answer to reports. */
+/** Parses the reply to reports. */
 export function readReportsReply(value: unknown): ReportsReply {
-  const { instance } = fieldsOf(value, 'answer to reports');
-  return { instance: isText(instance) ? instance : '' };
+  const { instance } = fieldsOf(value, 'reply to reports');
+  return { instance: isString(instance) ? instance : '' };
 }
 
-function readAnswer(value: unknown): KindAnswer {
+function parseAnswer(value: unknown): KindAnswer {
   const fields = fieldsOf(value, 'answer');
   if (fields['kind'] === 'expired') {
     return { kind: 'expired' };
@@ -111,31 +111,31 @@
     const { objects, revision } = fieldsOf(fields['list'], 'list');
     return {
       kind: 'list',
-      list: { objects: listOf(objects).filter(isObject), revision: revisionOf(revision) },
+      list: { objects: listOf(objects).filter(isStoredObject), revision: parseRevision(revision) },
     };
   }
   if (fields['kind'] === 'changes') {
     const changes = listOf(fields['changes']).filter(isChange);
-    return { kind: 'changes', changes, revision: revisionOf(fields['revision']) };
+    return { kind: 'changes', changes, revision: parseRevision(fields['revision']) };
   }
-  throw new PeerMessageError('answer of no kind');
+  throw new PeerMessageError('answer of unknown kind');
 }
 
-function readTally(value: unknown): Tally {
+function parseTally(value: unknown): Tally {
   const { loads, work } = fieldsOf(value, 'tally');
-  return { loads: readCounts(loads), work: readCounts(work) };
+  return { loads: parseCounts(loads), work: parseCounts(work) };
 }
 
-function readCounts(value: unknown): Counts {
+function parseCounts(value: unknown): Counts {
   return listOf(value).filter(
     (pair): pair is readonly [string, number] =>
-      Array.isArray(pair) && isText(pair[0]) && isNumber(pair[1]),
+      Array.isArray(pair) && isString(pair[0]) && isNumber(pair[1]),
   );
 }
 
-function revisionOf(value: unknown): number {
+function parseRevision(value: unknown): number {
   if (!isNumber(value)) {
-    throw new PeerMessageError('no revision');
+    throw new PeerMessageError('revision is not a number');
   }
   return value;
 }
@@ -151,57 +151,62 @@
   return Array.isArray(value) ? value : [];
 }
 
-function isObject(value: unknown): value is StoredObject {
+function isStoredObject(value: unknown): value is StoredObject {
   const { name, revision } = (value ?? {}) as Fields;
-  return isText(name) && isNumber(revision);
+  return isString(name) && isNumber(revision);
 }
 
 function isChange(value: unknown): value is ObjectChange {
   const { object, deleted } = (value ?? {}) as Fields;
-  return isObject(object) && typeof deleted === 'boolean';
+  return isStoredObject(object) && typeof deleted === 'boolean';
 }
 
 function isOutlierReport(value: unknown): value is OutlierReport {
   const fields = (value ?? {}) as Fields;
   const names = ['target', 'targetHost', 'targetDomain', 'reporter', 'reporterDomain'];
-  return names.every(name => isText(fields[name])) && isAge(fields['ageMs']);
+  return names.every(name => isString(fields[name])) && isNonNegative(fields['ageMs']);
 }
 
 function isRunReport(value: unknown): value is RunReport {
   const fields = (value ?? {}) as Fields;
   const { kind, fingerprint, host, place, ranMs, ageMs, route } = fields;
-  if (!isText(fingerprint) || !isAge(ageMs)) {
+  if (!isString(fingerprint) || !isNonNegative(ageMs)) {
     return false;
   }
-  const isCrash = isText(place) && isText(route) && isAge(ranMs) && isText(hostIdOf(host));
+  const isCrash =
+    isString(place) && isString(route) && isNonNegative(ranMs) && isString(hostIdOf(host));
   return kind === 'completed' || (kind === 'crashed' && isCrash);
 }
 
 function isLimitReport(value: unknown): value is LimitReport {
   const fields = (value ?? {}) as Fields;
   const { host, turn } = fields;
-  const isTurn = Number.isSafeInteger(turn) && isAge(turn);
-  const isKnown = ['heardAgeMs', 'confirmedAgeMs'].every(name => isAge(fields[name]));
-  const isOptional = (name: string): boolean => fields[name] === undefined || isAge(fields[name]);
+  const isTurn = Number.isSafeInteger(turn) && isNonNegative(turn);
+  const hasAges = ['heardAgeMs', 'confirmedAgeMs'].every(name => isNonNegative(fields[name]));
+  const isValidOptional = (name: string): boolean =>
+    fields[name] === undefined || isNonNegative(fields[name]);
   return (
-    isText(hostIdOf(host)) && isTurn && isKnown && ['perSecond', 'askedAgeMs'].every(isOptional)
+    isString(hostIdOf(host)) &&
+    isTurn &&
+    hasAges &&
+    ['perSecond', 'askedAgeMs'].every(isValidOptional)
   );
 }
 
 function isIncarnation(value: unknown): value is HostIncarnation {
   const { startedAt } = (value ?? {}) as Fields;
-  return isText(hostIdOf(value)) && (startedAt === undefined || isNumber(startedAt));
+  return isString(hostIdOf(value)) && (startedAt === undefined || isNumber(startedAt));
 }
 
 function hostIdOf(host: unknown): unknown {
   return ((host ?? {}) as Fields)['id'];
 }
 
-function isAge(value: unknown): value is number {
+function isNonNegative(value: unknown): value is number {
   return isNumber(value) && value >= 0;
 }
 
-function isText(value: unknown): value is string {
+function isString(value: unknown): value is string {
   return typeof value === 'string';
 }
 
--- a/packages/entry/src/peers/reader-choice.test.ts
+++ b/packages/entry/src/peers/reader-choice.test.ts
@@ -40,18 +40,18 @@
 
   const namesOf = (some: readonly Member[]): readonly string[] => some.map(({ name }) => name);
 
-  it('are the stronger hosts, those of the own failure domain first, and others for need', () => {
+  it('are higher-ranked hosts, those of the own failure domain first, and others as a fallback', () => {
     const { above, below } = candidatesOf(member('middle', 1), members);
     expect(namesOf(above)).to.deep.equal(['strong', 'far', 'far-too']);
     expect(namesOf(below)).to.deep.equal(['weak']);
   });
 
-  it('leave one host of all failure domains to follow the store', () => {
+  it('leave a single host of all failure domains to follow the store', () => {
     const following = members.filter(self => candidatesOf(self, members).above.length === 0);
     expect(namesOf(following)).to.deep.equal(['far']);
   });
 
-  it('stand in one order for all, so that nobody follows in a circle', () => {
+  it('rank before the host in the order of all hosts, so that no circle arises', () => {
     const alike = ['a', 'b', 'c', 'd', 'e', 'f'].map((name, index) =>
       member(name, 1, `z${index % 2}`),
     );
@@ -63,7 +63,7 @@
     }
   });
 
-  it('tell the first few of a failure domain from the others, whoever answers', () => {
+  it('mark the first three hosts of a failure domain, whichever hosts answer', () => {
     const members = Array.from({ length: 10 }, (_, index) => member(`m${index}`, 10 - index));
     const first = members.map(self => candidatesOf(self, members).isAmongFirst);
     expect(first.filter(Boolean)).to.have.length(3);
@@ -72,10 +72,10 @@
   });
 });
 
-describe('choice of what to follow', () => {
+describe('choice of a reader', () => {
   const candidates = { above: [member('up', 2)], below: [member('down', 0.5)], isAmongFirst: true };
 
-  it('is the stronger peer, then the store, then any peer', () => {
+  it('is the higher-ranked peer, then the store, then a lower-ranked peer', () => {
     const choice = choiceOf(candidates);
     const up = choice.choose();
     expect(up.name).to.equal('up:1');
@@ -87,7 +87,7 @@
     expect(choice.choose().name).to.equal('down:1');
   });
 
-  it('lets nobody follow a host that follows a weaker one', () => {
+  it('lets no host follow one that follows a lower-ranked peer', () => {
     const choice = choiceOf(candidates);
     choice.note(choice.choose(), 'stale');
     choice.choose();
@@ -97,7 +97,7 @@
     expect(choice.mayBeFollowed).to.equal(false);
   });
 
-  it('goes back to the stronger peer when it is fresh again', () => {
+  it('returns to the higher-ranked peer when a read of it is fresh again', () => {
     const choice = choiceOf(candidates);
     const up = choice.choose();
     choice.note(up, 'failed');
@@ -106,7 +106,7 @@
     expect(choice.choose()).to.equal(up);
   });
 
-  it('tries a peer that is gone for good ever more seldom', () => {
+  it('tries a peer that never answers less and less often', () => {
     let now = 0;
     const choice = choiceOf(candidates, () => now);
     let tries = 0;
@@ -120,7 +120,7 @@
     expect(tries).to.be.within(3, 8);
   });
 
-  it('lets one kind at a time ask the store again, and seldom while stronger peers are there', () => {
+  it('lets one kind at a time probe the store, and rarely while there are higher-ranked peers', () => {
     let now = 0;
     const choice = choiceOf({ above: [member('up', 2)], below: [], isAmongFirst: true }, () => now);
     let storeCalls = 0;
@@ -137,7 +137,7 @@
     expect(storeCalls).to.be.within(4, 6);
   });
 
-  it('is not taken by a look at it: the turn at the store stays for whoever asks', () => {
+  it('is not changed by peek: the probe of the store is left to the next call of choose', () => {
     let now = 0;
     const choice = choiceOf({ above: [member('up', 2)], below: [], isAmongFirst: true }, () => now);
     choice.note(STORE, 'failed');
@@ -150,7 +150,7 @@
     expect(choice.usableInMs()).to.be.greaterThan(0);
   });
 
-  it('reads an urgent kind from the store after two silent peers, and others from the next peer', () => {
+  it('reads an urgent kind from the store after two failed peers, and others from the next peer', () => {
     const above = ['p1', 'p2', 'p3'].map(name => member(name, 2));
     const choice = choiceOf({ above, below: [], isAmongFirst: false });
     choice.note(choice.choose(true), 'failed');
@@ -172,7 +172,7 @@
     expect(choice.choose(true).name).to.equal('p3:1');
   });
 
-  it('tells when the next reader is worth asking', () => {
+  it('returns the time until a reader may be used again', () => {
     let now = 0;
     const choice = choiceOf({ above: [member('up', 2)], below: [], isAmongFirst: true }, () => now);
     choice.note(choice.choose(), 'stale');
@@ -183,7 +183,7 @@
     expect(choice.usableInMs()).to.equal(0);
   });
 
-  it('asks a peer again within half a second, however long that has been without the store', () => {
+  it('uses a stale peer again within half a second, however long it has been stale', () => {
     let now = 0;
     const choice = choiceOf({ above: [member('up', 2)], below: [], isAmongFirst: true }, () => now);
     const up = choice.choose();
--- a/packages/entry/src/peers/reader-choice.ts
+++ b/packages/entry/src/peers/reader-choice.ts
@@ -1,61 +1,61 @@
 /**
- * Chooses where this host reads kinds from: a stronger peer of its failure domain, the store, or
- * any peer while the store does not serve this host.
+ * Chooses where this host reads objects from: a higher-ranked peer, the store, or any other peer while the store
+ * does not serve this host.
  *
- * One host of each failure domain thus follows the store, and the others follow that one. There is
- * no election: every host tries the same order, and a second host that follows the store costs
- * calls but does no harm.
+ * Most hosts of a failure domain thus follow its first host, and the first host of all follows the store. There is no
+ * election: all hosts try peers in the same order, and a second host that follows the store causes more calls but
+ * no fault.
  */
 import { monotonicMs } from '../server/time.js';
 import type { KindReader } from '../store/kind-reader.js';
 import type { ReaderChoice, ReadingOutcome } from '../store/watched-kind.js';
 import type { Candidates, Member } from './member.js';
 
-/** Options of a choice. */
 export type PeerReaderChoiceOptions = {
   readonly store: KindReader;
   readonly candidates: () => Candidates;
   readonly readerOf: (member: Member) => KindReader;
-  /** Monotonic milliseconds; for tests. */
+  /** Clock in monotonic milliseconds; replaced in tests. */
   readonly now?: (() => number) | undefined;
 };
 
-/** Time for which a reader is left alone, in milliseconds. */
+/** Time for which a reader is not used after a failed or stale read, in milliseconds. */
 const AVOID_MS = {
-  /** A peer that did not answer; doubled with each failure in a row. */
+  /** A peer that did not answer; doubled with each consecutive failure. */
   failed: 2_000,
   /**
-   * A peer that answered, but has lost the store itself. Not longer with each time in a row: after an
-   * outage what a peer confirms travels down the chain of followed hosts, a wait for each, and keys wait
-   * for it. One kind asks for all, so that a host asks each peer five times a second meanwhile.
+   * A peer that answered, but has lost the store itself. The time does not grow: after an outage, confirmations
+   * travel down the chain of followed hosts with one such wait for each host, and checks of keys wait for them. One
+   * kind probes for all kinds, so a host sends five requests a second to each peer during the outage.
    */
   stale: 200,
-  /** The store, by a host that has no stronger one to follow. */
+  /** The store, on a host that has no higher-ranked peer to follow. */
   storeOfFirst: 250,
   /**
-   * The store, by any other host: it hears from a stronger one when the store is back, and asks by
-   * itself only in case that the store turns just the stronger ones away. With 195 hosts that ask
-   * every 0.3 s for each kind, an outage of 7 s costs thousands of calls.
+   * The store, on any other host. A higher-ranked peer reports when the store is available again; a host probes the
+   * store itself only in case that it rejects just the higher-ranked ones. With 195 hosts that call it every 0.3 s
+   * for each kind, an outage of 7 s would cause thousands of calls.
    */
   storeOfOthers: 2_000,
-  /** A peer that is gone for good is still registered; it must not be tried again and again. */
-  most: 60_000,
+  /** Upper bound for all readers: a peer that was removed for good stays registered and must be tried rarely. */
+  max: 60_000,
 } as const;
 
 /**
- * Number of peers in a row that have to fail before an urgent kind is read from the store. The first costs
- * up to 1.4 s, each further one half a second, out of the few seconds in which an evacuation has to take
- * effect. Not one, so that the loss of one host does not send all its followers to the store at once.
+ * Number of consecutive failures of peers after which an urgent kind is read from the store. The first failure takes
+ * up to 1.4 s and each further one half a second, out of the few seconds within which an evacuation has to take
+ * effect. With a value of one, the loss of one host would send all its followers to the store at once.
  */
-const MOST_SILENT_PEERS = 2;
+const MAX_SILENT_PEERS = 2;
 
-/** The choice, with what is known of each reader. */
+/** Chooses the reader of each read, and records failures by reader. */
 export class PeerReaderChoice implements ReaderChoice {
   readonly #options: PeerReaderChoiceOptions;
   readonly #avoidUntil = new Map<string, number>();
   readonly #failures = new Map<string, number>();
   #current: KindReader;
   #followsBelow = false;
+  /** Failures of peers since the last fresh read from any reader. */
   #silentPeers = 0;
 
   constructor(options: PeerReaderChoiceOptions) {
@@ -69,39 +69,39 @@
   }
 
   /**
-   * True while peers may follow this host: it follows the store, or a peer that is above it in the
-   * order of all. Whoever follows a peer below does so for itself only, so that no circle arises.
+   * True while peers may follow this host: it follows the store, or a higher-ranked peer. A host that follows one
+   * of the peers in `below` must not be followed itself, so that hosts never follow each other in a circle.
    */
   get mayBeFollowed(): boolean {
     return !this.#followsBelow;
   }
 
-  /** The reader of the next step; for an urgent kind the store, once some peers in a row have failed. */
+  /** Chooses the reader of the next read; for an urgent kind the store after {@link MAX_SILENT_PEERS} failed peers. */
   choose(isUrgent = false): KindReader {
     const { store } = this.#options;
     if (this.#skipsPeers(isUrgent)) {
       return store;
     }
-    const { reader, isBelow } = this.#best();
+    const { reader, isBelow } = this.#select();
     this.#followsBelow = isBelow;
     this.#current = reader;
     if (reader === store) {
-      this.#noteProbe();
+      this.#reserveProbe();
     }
     return reader;
   }
 
-  /** The reader that {@link choose} would give; changes no state. */
+  /** Returns the reader that {@link choose} would choose; changes no state. */
   peek(isUrgent = false): KindReader {
-    return this.#skipsPeers(isUrgent) ? this.#options.store : this.#best().reader;
+    return this.#skipsPeers(isUrgent) ? this.#options.store : this.#select().reader;
   }
 
   #skipsPeers(isUrgent: boolean): boolean {
-    const skips = isUrgent && this.#silentPeers >= MOST_SILENT_PEERS;
+    const skips = isUrgent && this.#silentPeers >= MAX_SILENT_PEERS;
     return skips && !this.isAvoided(this.#options.store.name);
   }
 
-  #best(): { readonly reader: KindReader; readonly isBelow: boolean } {
+  #select(): { readonly reader: KindReader; readonly isBelow: boolean } {
     const { store, candidates } = this.#options;
     const { above, below } = candidates();
     const fromAbove = this.#firstUsable(above);
@@ -112,7 +112,7 @@
     };
   }
 
-  /** Milliseconds until some reader is worth asking; 0 when one is. */
+  /** Time until some reader may be used again, in milliseconds; 0 where one may be used now. */
   usableInMs(): number {
     const { store, candidates, readerOf } = this.#options;
     const { above, below } = candidates();
@@ -121,8 +121,8 @@
     return Math.max(0, Math.min(...until) - this.#now());
   }
 
-  // While one kind finds out whether the store is back, the others need not.
-  #noteProbe(): void {
+  // While a read of one kind probes whether the store is available again, reads of other kinds do not.
+  #reserveProbe(): void {
     const { store } = this.#options;
     const until = this.#avoidUntil.get(store.name);
     if (until !== undefined && until <= this.#now()) {
@@ -130,7 +130,7 @@
     }
   }
 
-  /** Learns how a reading went. */
+  /** Records the outcome of a read. */
   note(reader: KindReader, outcome: ReadingOutcome): void {
     if (outcome === 'fresh') {
       this.#avoidUntil.delete(reader.name);
@@ -138,7 +138,7 @@
       this.#silentPeers = 0;
       return;
     }
-    // Several kinds are read at once; what they all lose at one time is one failure.
+    // Several kinds are read at the same time; reads that fail together count as one failure.
     if (outcome === 'failed' && !this.isAvoided(reader.name)) {
       this.#failures.set(reader.name, (this.#failures.get(reader.name) ?? 0) + 1);
       this.#silentPeers += Number(reader !== this.#options.store);
@@ -146,7 +146,7 @@
     this.#avoidUntil.set(reader.name, this.#now() + this.#avoidMs(reader, outcome));
   }
 
-  /** True while a reader has lately failed. */
+  /** True while a reader is not used after a recent failed or stale read. */
   isAvoided(name: string): boolean {
     return (this.#avoidUntil.get(name) ?? -Infinity) > this.#now();
   }
@@ -159,14 +159,14 @@
     if (reader !== this.#options.store) {
       const failures = this.#failures.get(reader.name) ?? 1;
       const factor = outcome === 'failed' ? Math.pow(2, failures - 1) : 1;
-      return Math.min(AVOID_MS.most, AVOID_MS[outcome] * factor);
+      return Math.min(AVOID_MS.max, AVOID_MS[outcome] * factor);
     }
     return this.#storeAvoidMs();
   }
 
   #storeAvoidMs(): number {
-    const first = this.#options.candidates().above.length === 0;
-    return first ? AVOID_MS.storeOfFirst : AVOID_MS.storeOfOthers;
+    const isFirst = this.#options.candidates().above.length === 0;
+    return isFirst ? AVOID_MS.storeOfFirst : AVOID_MS.storeOfOthers;
   }
 
   #firstUsable(members: readonly Member[]): KindReader | undefined {
--- a/packages/entry/src/peers/report-exchange.test.ts
+++ b/packages/entry/src/peers/report-exchange.test.ts
@@ -1,4 +1,4 @@
-/** Reports on their way to other entry hosts, which fail, start anew or change. */
+/** Delivery of reports to entry hosts that fail, restart or are replaced. */
 import { expect } from 'chai';
 
 import { CrashEvidence } from '../quarantine/crash-evidence.js';
@@ -6,18 +6,18 @@
 import { silentLog } from '../server/log.js';
 import { ReportExchange } from './report-exchange.js';
 
-/** An entry host that takes reports, or not. */
+/** An entry host that receives reports, and rejects the next `failures` deliveries. */
 class Receiver {
-  readonly heard: RunReport[] = [];
+  readonly received: RunReport[] = [];
   instance = 'first';
   failures = 0;
 
-  take(reports: readonly RunReport[]): Promise<{ instance: string }> {
+  receive(reports: readonly RunReport[]): Promise<{ instance: string }> {
     if (this.failures > 0) {
       this.failures -= 1;
       return Promise.reject(new Error('link is closed'));
     }
-    this.heard.push(...reports);
+    this.received.push(...reports);
     return Promise.resolve({ instance: this.instance });
   }
 }
@@ -51,7 +51,7 @@
       about: 'lost runs',
       source,
       addresses: () => addresses,
-      send: (address, reports) => receiverAt(address).take(reports),
+      send: (address, reports) => receiverAt(address).receive(reports),
       log: silentLog(),
     });
   });
@@ -74,43 +74,43 @@
     await new Promise(resolve => setTimeout(resolve, waitMs));
   }
 
-  function heardAt(address: string): readonly string[] {
-    return receiverAt(address).heard.map(({ fingerprint }) => fingerprint);
+  function receivedAt(address: string): readonly string[] {
+    return receiverAt(address).received.map(({ fingerprint }) => fingerprint);
   }
 
-  it('are told once', async () => {
+  it('are delivered once', async () => {
     await report('f');
     await report('g');
     await flush();
-    expect(heardAt('a')).to.deep.equal(['f', 'g']);
+    expect(receivedAt('a')).to.deep.equal(['f', 'g']);
   });
 
-  it('are told again until they arrive', async () => {
+  it('are sent again until they are delivered', async () => {
     receiverAt('a').failures = 2;
     await report('f');
-    expect(heardAt('a')).to.deep.equal([]);
+    expect(receivedAt('a')).to.deep.equal([]);
     await flush(600);
-    expect(heardAt('a')).to.deep.equal(['f']);
+    expect(receivedAt('a')).to.deep.equal(['f']);
   });
 
-  it('are all told to whoever takes the place of another', async () => {
+  it('are all delivered to a host that replaces another', async () => {
     await report('f');
     addresses = ['b'];
     await report('g');
-    expect(heardAt('b')).to.deep.equal(['f', 'g']);
+    expect(receivedAt('b')).to.deep.equal(['f', 'g']);
   });
 
-  it('are all told again to a process that has started anew', async () => {
+  it('are all delivered again to a host that has restarted', async () => {
     await report('f');
     receiverAt('a').instance = 'second';
     await report('g');
-    expect(heardAt('a')).to.deep.equal(['f', 'g', 'f', 'g']);
+    expect(receivedAt('a')).to.deep.equal(['f', 'g', 'f', 'g']);
   });
 
-  it('reach one although another does not answer', async () => {
+  it('reach one host while another does not answer', async () => {
     addresses = ['a', 'b'];
     receiverAt('a').failures = 1_000;
     await report('f');
-    expect(heardAt('b')).to.deep.equal(['f']);
+    expect(receivedAt('b')).to.deep.equal(['f']);
   });
 });
--- a/packages/entry/src/peers/report-exchange.ts
+++ b/packages/entry/src/peers/report-exchange.ts
@@ -1,52 +1,56 @@
 /**
- * Tells neighbouring entry hosts what this one has learned, such as of lost runs: those it follows, those that follow
- * it, and those it exchanges tallies with. Each passes on what is new to it, so a report reaches all in a few messages.
+ * Sends reports, such as those of lost runs, to the neighbours of this entry host: hosts that it follows, that follow
+ * it, or that it exchanges tallies with. Each host forwards reports that are new to it, so that a report reaches all
+ * entry hosts within a few messages.
  */
 import { FailureSeries } from '../server/failure-series.js';
 import type { Log } from '../server/log.js';
 import { sleep } from '../server/time.js';
 import type { ReportsReply } from './peer-messages.js';
 
-/** Reports of this host, in the order in which it learned them. */
+/** Reports that this host made or received, in that order. */
 export type ReportSource<T> = {
-  /** Number of the newest report. */
+  /** Sequence number of the newest report. */
   readonly sequence: number;
+  /** Returns the reports after a sequence number. */
   readonly since: (sequence: number) => readonly T[];
 };
 
-/** Options of an exchange. */
 export type ReportExchangeOptions<T> = {
-  /** What the reports are about, for the log. */
+  /** Subject of the reports, for the log. */
   readonly about: string;
   readonly source: ReportSource<T>;
-  /** Addresses of the entry hosts to tell. */
+  /** Returns the addresses of the entry hosts that get the reports. */
   readonly addresses: () => readonly string[];
   readonly send: (address: string, reports: readonly T[]) => Promise<ReportsReply>;
   readonly log: Log;
 };
 
-/** What one entry host was told. */
-type Told = { readonly instance: string; readonly sequence: number };
+/** The last delivery to one entry host: its incarnation, and the sequence number of the newest report. */
+type Delivery = { readonly instance: string; readonly sequence: number };
 
-/** Pause before reports that did not arrive are sent again, in milliseconds. */
+/** Pause before a retry of reports that were not delivered, in milliseconds. */
 const RETRY_MS = 200;
-/** Retries in a row; who is gone for so long asks for all reports when it is back. */
-const MOST_RETRIES = 25;
+/** Largest number of consecutive retries; a host that is away for longer requests all reports when it is back. */
+const MAX_RETRIES = 25;
 
-/** Tells reports until they have arrived. */
+/** Sends reports to entry hosts, with retries until they are delivered. */
 export class ReportExchange<T> {
   readonly #options: ReportExchangeOptions<T>;
-  readonly #told = new Map<string, Told>();
+  readonly #deliveries = new Map<string, Delivery>();
   readonly #failures: FailureSeries;
   readonly #abort = new AbortController();
   #isRunning = false;
 
   constructor(options: ReportExchangeOptions<T>) {
     this.#options = options;
-    this.#failures = new FailureSeries(options.log, `tell other entry hosts of ${options.about}`);
+    this.#failures = new FailureSeries(
+      options.log,
+      `send reports of ${options.about} to entry hosts`,
+    );
   }
 
-  /** There are new reports, or other entry hosts to tell. */
+  /** Sends undelivered reports; called when there are new reports or other receivers. */
   flush(): void {
     if (!this.#isRunning) {
       this.#isRunning = true;
@@ -56,40 +60,40 @@
     }
   }
 
-  /** Tells nothing any more. */
+  /** Stops sending. */
   stop(): void {
     this.#abort.abort();
   }
 
   async #run(): Promise<void> {
-    for (let attempt = 0; attempt <= MOST_RETRIES && !this.#abort.signal.aborted; attempt++) {
-      const results = await Promise.all(this.#behind().map(address => this.#tell(address)));
-      if (results.every(isTold => isTold) && this.#behind().length === 0) {
+    for (let attempt = 0; attempt <= MAX_RETRIES && !this.#abort.signal.aborted; attempt++) {
+      const results = await Promise.all(this.#undelivered().map(address => this.#deliver(address)));
+      if (results.every(isDelivered => isDelivered) && this.#undelivered().length === 0) {
         return;
       }
-      if (results.some(isTold => !isTold)) {
+      if (results.some(isDelivered => !isDelivered)) {
         await sleep(RETRY_MS, this.#abort.signal);
       }
     }
   }
 
-  // Those that have not been told of the newest report.
-  #behind(): readonly string[] {
+  // Addresses of the entry hosts that have not received the newest report.
+  #undelivered(): readonly string[] {
     const { source, addresses } = this.#options;
     return addresses().filter(
-      address => (this.#told.get(address)?.sequence ?? 0) < source.sequence,
+      address => (this.#deliveries.get(address)?.sequence ?? 0) < source.sequence,
     );
   }
 
-  async #tell(address: string): Promise<boolean> {
+  async #deliver(address: string): Promise<boolean> {
     const { source, send } = this.#options;
     const { sequence } = source;
-    const told = this.#told.get(address);
+    const last = this.#deliveries.get(address);
     try {
-      const { instance } = await send(address, source.since(told?.sequence ?? 0));
-      // A process that has started anew meanwhile knows nothing of what the earlier one was told.
-      const isNew = told !== undefined && told.instance !== instance;
-      this.#told.set(address, { instance, sequence: isNew ? 0 : sequence });
+      const { instance } = await send(address, source.since(last?.sequence ?? 0));
+      // A host that has restarted since the last delivery no longer has the reports that were delivered before.
+      const isRestarted = last !== undefined && last.instance !== instance;
+      this.#deliveries.set(address, { instance, sequence: isRestarted ? 0 : sequence });
       this.#failures.succeeded();
       return true;
     } catch (error) {
--- a/packages/entry/src/peers/shared-counts.test.ts
+++ b/packages/entry/src/peers/shared-counts.test.ts
@@ -1,16 +1,16 @@
-/** Each host's numbers reach every other host once, along whom they follow. */
+/** The counts of each host reach every other host exactly once, along the chain of followed hosts. */
 import { expect } from 'chai';
 
 import { SharedCounts } from './shared-counts.js';
 
 const KEY = 'h1';
 
-/** A host with `own` requests in progress. */
+/** Creates the counts of a host with `own` requests in progress. */
 function hostWith(own: number): SharedCounts {
   return new SharedCounts(() => [[KEY, own]]);
 }
 
-/** One exchange of a follower with the host that it follows. */
+/** Runs one exchange between a follower and the host that it follows. */
 function follow(
   name: string,
   domain: string,
@@ -21,8 +21,8 @@
   follower.noteFollowed(followed.allBut(name));
 }
 
-// Sums are used again for 50 ms.
-function sumsLapse(): Promise<void> {
+// Sums are reused for 50 ms.
+function waitForNewSums(): Promise<void> {
   return new Promise(resolve => setTimeout(resolve, 60));
 }
 
@@ -36,7 +36,7 @@
       follow('leaf', 'b', leaf, head);
       follow('leafOfTop', 'a', leafOfTop, top);
       follow('head', 'b', head, top);
-      await sumsLapse();
+      await waitForNewSums();
     }
     expect(top.ofOthers(KEY)).to.equal(1_110);
     expect(head.ofOthers(KEY)).to.equal(1_101);
@@ -44,7 +44,7 @@
     expect(leafOfTop.ofOthers(KEY)).to.equal(111);
   });
 
-  it('tell of the own failure domain only what its own hosts have', () => {
+  it('of a failure domain include only the hosts of that failure domain', () => {
     const top = hostWith(1);
     top.noteFollower('head', 'b', [[KEY, 10]]);
     top.noteFollower('leaf', 'a', [[KEY, 100]]);
--- a/packages/entry/src/peers/shared-counts.ts
+++ b/packages/entry/src/peers/shared-counts.ts
@@ -1,107 +1,108 @@
 /**
- * Numbers that all entry hosts add up: requests in progress by upstream host, work by model.
+ * Sums numbers over all entry hosts: requests in progress by upstream host, work by model.
  *
- * Each entry host knows its own numbers at once; those of others arrive with a delay of some
- * hundred milliseconds and lapse when they are not renewed.
+ * An entry host knows its own numbers at once. Those of other hosts arrive with a delay of some hundred milliseconds
+ * and expire when they are not renewed.
  */
 import { monotonicMs } from '../server/time.js';
 import type { Counts } from './peer-messages.js';
 
-/** Age at which what another host has told counts no more, in milliseconds. */
-const LAPSE_MS = 1_500;
+/** Age at which reported counts expire, in milliseconds. */
+const EXPIRY_MS = 1_500;
 
-/** Time for which the sum of all is used again, in milliseconds; loads are older than this anyway. */
-const SUM_AGE_MS = 50;
+/** Time for which the computed sum of other hosts is reused, in milliseconds; loads are older than this anyway. */
+const SUM_REUSE_MS = 50;
 
-type Told = { readonly counts: Counts; readonly at: number };
-type ToldByFollower = Told & { readonly failureDomain: string };
+/** Counts that another host reported, and the time of receipt in monotonic milliseconds. */
+type CountsReport = { readonly counts: Counts; readonly at: number };
+type FollowerReport = CountsReport & { readonly failureDomain: string };
 
-/** The sums as known here. */
+/** Holds the counts of this host and the last reported counts of other entry hosts, and sums them. */
 export class SharedCounts {
   readonly #own: () => Counts;
-  readonly #followers = new Map<string, ToldByFollower>();
-  readonly #domains = new Map<string, Told>();
-  #others: ReadonlyMap<string, number> = new Map();
-  #othersAt = -Infinity;
-  #followed: Told | undefined;
+  readonly #followers = new Map<string, FollowerReport>();
+  readonly #domains = new Map<string, CountsReport>();
+  #cachedSum: ReadonlyMap<string, number> = new Map();
+  #summedAt = -Infinity;
+  #followed: CountsReport | undefined;
 
-  /** `own` gives the numbers of this host. */
+  /** `own` returns the counts of this host. */
   constructor(own: () => Counts) {
     this.#own = own;
   }
 
-  /** What the other entry hosts have of a key. */
+  /** Returns the sum over all other entry hosts for a key. */
   ofOthers(key: string): number {
-    return this.#sum().get(key) ?? 0;
+    return this.#sumOfOthers().get(key) ?? 0;
   }
 
-  /** A host that follows this one has told what it and its own followers have. */
+  /** Records the counts of a follower of this host, summed with those of its own followers. */
   noteFollower(name: string, failureDomain: string, counts: Counts): void {
     this.#followers.set(name, { counts, at: monotonicMs(), failureDomain });
   }
 
-  /** True while any host tells its counts by following this one. */
+  /** True while any host follows this one and reports its counts. */
   get hasFollowers(): boolean {
     return this.#fresh(this.#followers).length > 0;
   }
 
-  /** Names of the hosts that tell their counts by following this one. */
+  /** Names of the hosts that follow this one and report their counts. */
   get followers(): readonly string[] {
     this.#fresh(this.#followers);
     return [...this.#followers.keys()];
   }
 
-  /** True while a host of the failure domain tells its counts by following this one. */
+  /** Returns true while a host of the failure domain follows this one and reports its counts. */
   hasFollowerIn(failureDomain: string): boolean {
-    return this.#fresh(this.#followers).some(told => told.failureDomain === failureDomain);
+    return this.#fresh(this.#followers).some(entry => entry.failureDomain === failureDomain);
   }
 
-  /** The host that this one follows has told what everybody has who does not follow this one. */
+  /** Records the counts that the followed host reported: the sum over all hosts but this one and its followers. */
   noteFollowed(counts: Counts): void {
     this.#followed = { counts, at: monotonicMs() };
-    this.#othersAt = -Infinity;
+    this.#summedAt = -Infinity;
   }
 
-  /** Another failure domain has told its counts. */
+  /** Records the counts of another failure domain. */
   noteDomain(failureDomain: string, counts: Counts): void {
     this.#domains.set(failureDomain, { counts, at: monotonicMs() });
-    this.#othersAt = -Infinity;
+    this.#summedAt = -Infinity;
   }
 
-  /** Counts of this host and of its followers in its failure domain. */
+  /** Returns the counts of this host and of its followers in its failure domain. */
   ofDomain(failureDomain: string): Counts {
     const followers = this.#fresh(this.#followers).filter(
-      told => told.failureDomain === failureDomain,
+      entry => entry.failureDomain === failureDomain,
     );
     return [...sumOf([this.#own(), ...countsOf(followers)])];
   }
 
-  /** Counts of this host and of all that follow it. */
+  /** Returns the counts of this host and of all its followers. */
   withFollowers(): Counts {
     return [...sumOf([this.#own(), ...countsOf(this.#fresh(this.#followers))])];
   }
 
-  /** Counts of all hosts but one that follows this one, and the followers of that one. */
+  /** Returns the counts of all hosts but one follower of this host and the followers of that one. */
   allBut(follower: string): Counts {
-    const told = this.#followers.get(follower);
-    const sums = sumOf([this.#own(), [...this.#sum()]]);
-    if (told !== undefined && isFresh(told)) {
-      subtract(sums, told.counts);
+    const reported = this.#followers.get(follower);
+    const sums = sumOf([this.#own(), [...this.#sumOfOthers()]]);
+    if (reported !== undefined && isFresh(reported)) {
+      subtract(sums, reported.counts);
     }
     return [...sums].filter(([, count]) => count > 0);
   }
 
-  #sum(): ReadonlyMap<string, number> {
+  #sumOfOthers(): ReadonlyMap<string, number> {
     const now = monotonicMs();
-    if (now - this.#othersAt >= SUM_AGE_MS) {
-      this.#others = sumOf(this.#ofAllOthers());
-      this.#othersAt = now;
+    if (now - this.#summedAt >= SUM_REUSE_MS) {
+      this.#cachedSum = sumOf(this.#countsOfOthers());
+      this.#summedAt = now;
     }
-    return this.#others;
+    return this.#cachedSum;
   }
 
-  // The host that is followed tells of everybody but this one and its followers.
-  #ofAllOthers(): readonly Counts[] {
+  // The counts of the followed host cover all hosts but this one and its followers, so domains are not added to them.
+  #countsOfOthers(): readonly Counts[] {
     const followers = countsOf(this.#fresh(this.#followers));
     if (this.#followed !== undefined && isFresh(this.#followed)) {
       return [...followers, this.#followed.counts];
@@ -109,29 +110,29 @@
     return [...followers, ...countsOf(this.#fresh(this.#domains))];
   }
 
-  #fresh<T extends Told>(told: Map<string, T>): readonly T[] {
-    for (const [name, entry] of told) {
+  #fresh<T extends CountsReport>(reports: Map<string, T>): readonly T[] {
+    for (const [name, entry] of reports) {
       if (!isFresh(entry)) {
-        told.delete(name);
+        reports.delete(name);
       }
     }
-    return [...told.values()];
+    return [...reports.values()];
   }
 }
 
-function countsOf(told: readonly Told[]): readonly Counts[] {
-  return told.map(({ counts }) => counts);
+function countsOf(reports: readonly CountsReport[]): readonly Counts[] {
+  return reports.map(({ counts }) => counts);
 }
 
-// What is subtracted may be newer than the sum, which then falls below zero for a moment.
+// The subtracted counts may be newer than those in the sum, so a difference can be below zero for a moment.
 function subtract(sums: Map<string, number>, counts: Counts): void {
   for (const [key, count] of counts) {
     sums.set(key, (sums.get(key) ?? 0) - count);
   }
 }
 
-function isFresh(told: Told): boolean {
-  return monotonicMs() - told.at < LAPSE_MS;
+function isFresh(report: CountsReport): boolean {
+  return monotonicMs() - report.at < EXPIRY_MS;
 }
 
 function sumOf(parts: readonly Counts[]): Map<string, number> {
--- a/packages/entry/src/peers/shared-reports.ts
+++ b/packages/entry/src/peers/shared-reports.ts
@@ -1,4 +1,4 @@
-/** Exchanges reports with neighbouring entry hosts: of lost runs, and of what hosts have said that binds all of them. */
+/** Exchanges reports of runs, rate limits and hosts that are shutting down with neighbouring entry hosts. */
 import type { LinkPool } from '@hingescale/link';
 
 import type { HostIncarnation } from '../hosts/host-entry.js';
@@ -13,87 +13,87 @@
 import type { ReportSource } from './report-exchange.js';
 import { ReportExchange } from './report-exchange.js';
 
-/** What this host knows, and who takes what others know. */
+/** The reports that this host sends, and the receiver of rate limit reports. */
 export type ReportSources = {
-  /** Lost runs. */
+  /** Reports of lost and completed runs. */
   readonly runReports: ReportSource<RunReport>;
-  /** The limits that hosts have named. */
+  /** Reports of the rate limits that upstream hosts have announced. */
   readonly limitReports: ReportSource<LimitReport>;
   /**
-   * Another entry host has told of such limits, unasked where `requestedAt` (monotonic milliseconds) is left out. True:
-   * it should be asked.
+   * Called with rate limit reports of another entry host. `requestedAt` (monotonic milliseconds) is the time of the
+   * request that they answer; without it the host sent them unrequested. Returns true where all reports of that host
+   * should be requested.
    */
   readonly limitReportsHeard: (reports: readonly LimitReport[], requestedAt?: number) => boolean;
-  /** Hosts that have said that they are shutting down. */
+  /** Hosts that have announced their shutdown. */
   readonly leavingHosts: ReportSource<HostIncarnation>;
 };
 
-/** Options of the reports. */
 export type SharedReportsOptions = ReportSources & {
   readonly links: LinkPool;
-  /** Addresses of the entry hosts to tell. */
+  /** Returns the addresses of the entry hosts that get reports. */
   readonly neighbours: () => readonly string[];
-  /** Address of an entry host by its name; undefined where it is not known. */
+  /** Returns the address of an entry host by its name; undefined where it is not known. */
   readonly addressOf: (name: string) => string | undefined;
   readonly log: Log;
 };
 
 const REQUEST_TIMEOUT_MS = 400;
 
-/** The reports that this host exchanges. */
+/** Runs one exchange for each type of report. */
 export class SharedReports {
   readonly #options: SharedReportsOptions;
   readonly #runs: ReportExchange<RunReport>;
   readonly #limits: ReportExchange<LimitReport>;
   readonly #leaving: ReportExchange<HostIncarnation>;
-  readonly #askFailures: FailureSeries;
+  readonly #requestFailures: FailureSeries;
 
   constructor(options: SharedReportsOptions) {
     this.#options = options;
     const { runReports, limitReports, leavingHosts, log } = options;
-    this.#askFailures = new FailureSeries(log, 'ask an entry host for limits');
+    this.#requestFailures = new FailureSeries(log, 'request rate limits from an entry host');
     this.#runs = this.#exchangeOf('lost runs', PEER_REQUESTS.runReports, runReports);
     this.#limits = this.#exchangeOf('limits', PEER_REQUESTS.limitReports, limitReports);
     this.#leaving = this.#exchangeOf('leaving hosts', PEER_REQUESTS.leavingHosts, leavingHosts);
   }
 
-  /** There are new reports of lost runs, or other entry hosts to tell. */
+  /** Sends undelivered reports of lost and completed runs; called when there are new ones or other receivers. */
   shareRuns(): void {
     this.#runs.flush();
   }
 
-  /** The same for limits. */
+  /** Sends undelivered reports of rate limits; called when there are new ones or other receivers. */
   shareLimits(): void {
     this.#limits.flush();
   }
 
-  /** The same for hosts that are shutting down. */
+  /** Sends undelivered reports of hosts that are shutting down; called when there are new ones or other receivers. */
   shareLeaving(): void {
     this.#leaving.flush();
   }
 
-  /** There may be other entry hosts to tell. */
+  /** Sends all undelivered reports; called when there may be other receivers. */
   shareAll(): void {
     this.shareRuns();
     this.shareLimits();
     this.shareLeaving();
   }
 
-  /** Another entry host has told of limits, unasked. */
+  /** Handles rate limit reports that another entry host sent unrequested. */
   limitsHeard(reports: readonly LimitReport[], from: string): void {
     if (this.#options.limitReportsHeard(reports)) {
-      void this.#askLimits(from);
+      void this.#requestLimits(from);
     }
   }
 
-  /** Tells nothing any more. */
+  /** Stops sending. */
   stop(): void {
     this.#runs.stop();
     this.#limits.stop();
     this.#leaving.stop();
   }
 
-  async #askLimits(name: string): Promise<void> {
+  async #requestLimits(name: string): Promise<void> {
     const { links, addressOf, limitReportsHeard } = this.#options;
     const address = addressOf(name);
     if (address === undefined) {
@@ -104,9 +104,9 @@
       const link = links.to(address);
       const reply = await link.request<unknown>(PEER_REQUESTS.askLimits, null, REQUEST_TIMEOUT_MS);
       limitReportsHeard(readLimitReports(reply), requestedAt);
-      this.#askFailures.succeeded();
+      this.#requestFailures.succeeded();
     } catch (error) {
-      this.#askFailures.failed(error);
+      this.#requestFailures.failed(error);
     }
   }
 
--- a/packages/entry/src/peers/silent-readers.test.ts
+++ b/packages/entry/src/peers/silent-readers.test.ts
@@ -1,4 +1,4 @@
-/** How long a change takes to reach a host whose peers stop answering as it is made. */
+/** Guards the time that a change takes to reach a host whose peers stop answering when the change is made. */
 import { expect } from 'chai';
 
 import { silentLog } from '../server/log.js';
@@ -11,29 +11,29 @@
 import type { Member } from './member.js';
 import { PeerReaderChoice } from './reader-choice.js';
 
-/** Time within which an evacuation has to take effect, as deployments set it. */
+/** Time within which an evacuation has to take effect, as deployments set it, in milliseconds. */
 const EVACUATION_BOUND_MS = 5_000;
-/** Time within which a configuration has to be in force, as deployments set it. */
+/** Time within which a configuration has to be in force, as deployments set it, in milliseconds. */
 const CONFIGURATION_BOUND_MS = 2_000;
-/** Connect timeout of a peer, and margin of its answers beyond the wait that was asked for. */
+/** Time after which an unanswered read fails beyond its wait: the connect timeout of a peer, or its answer margin. */
 const UNANSWERED_MS = 500;
-/** Number of peers: the most that are tried before the store. */
-const MOST_ABOVE = 6;
+/** Number of peers: the largest number that is tried before the store. */
+const PEER_COUNT = 6;
 
 const pause = (ms: number): Promise<void> => new Promise(resolve => setTimeout(resolve, ms));
 
-/** Time from the change until it reaches a host of whose peers `count` stop answering with the change. */
-async function heardAfterMs(kind: ObjectKind, count: number): Promise<number> {
+/** Measures the time (ms) from a change until it reaches a host of whose peers `count` stop answering with the change. */
+async function receivedAfterMs(kind: ObjectKind, count: number): Promise<number> {
   const timing = KIND_TIMINGS[kind];
   if (timing === undefined) {
     throw new Error(`${kind} is not followed`);
   }
-  let ordered = false;
-  let heardAt: number | undefined;
+  let isChanged = false;
+  let receivedAt: number | undefined;
   const answer = (): KindReading => ({
     answer: {
       kind: 'list',
-      list: ordered
+      list: isChanged
         ? { objects: [{ name: 'a', revision: 9, value: {} }], revision: 9 }
         : { objects: [], revision: 8 },
     },
@@ -41,7 +41,7 @@
     inTouch: true,
   });
   const store: KindReader = { name: 'store', hasViews: false, read: async () => answer() };
-  const peers = Array.from({ length: MOST_ABOVE }, (_, index) => ({
+  const peers = Array.from({ length: PEER_COUNT }, (_, index) => ({
     name: `p${index}`,
     address: `p${index}`,
     failureDomain: 'a',
@@ -52,7 +52,7 @@
     hasViews: true,
     read: async (_kind, _revision, waitMs) => {
       await pause(waitMs);
-      if (ordered && Number(name.slice(1)) < count) {
+      if (isChanged && Number(name.slice(1)) < count) {
         await pause(UNANSWERED_MS);
         throw new Error('no answer');
       }
@@ -74,7 +74,7 @@
     staleMs: timing.staleMs,
     observer: {
       listed: ({ objects }) => {
-        heardAt ??= objects.length > 0 ? monotonicMs() : undefined;
+        receivedAt ??= objects.length > 0 ? monotonicMs() : undefined;
       },
       changed: () => undefined,
       confirmed: () => undefined,
@@ -83,25 +83,25 @@
   });
   void watch.run();
   await pause(timing.peerWaitMs * 1.2);
-  ordered = true;
-  const orderedAt = monotonicMs();
-  while (heardAt === undefined && monotonicMs() - orderedAt < 2 * EVACUATION_BOUND_MS) {
+  isChanged = true;
+  const changedAt = monotonicMs();
+  while (receivedAt === undefined && monotonicMs() - changedAt < 2 * EVACUATION_BOUND_MS) {
     await pause(10);
   }
   watch.stop();
-  return (heardAt ?? Infinity) - orderedAt;
+  return (receivedAt ?? Infinity) - changedAt;
 }
 
-describe('a change made as followed hosts go silent', () => {
-  for (const count of [1, 2, MOST_ABOVE]) {
-    it(`is heard of within half of the bound of evacuations when ${count} of them do`, async () => {
-      const heardMs = await heardAfterMs(OBJECT_KINDS.evacuations, count);
-      expect(heardMs).to.be.lessThan(EVACUATION_BOUND_MS / 2 + UNANSWERED_MS);
+describe('a change made when followed hosts stop answering', () => {
+  for (const count of [1, 2, PEER_COUNT]) {
+    it(`is received within half of the bound of evacuations when ${count} of them do`, async () => {
+      const delayMs = await receivedAfterMs(OBJECT_KINDS.evacuations, count);
+      expect(delayMs).to.be.lessThan(EVACUATION_BOUND_MS / 2 + UNANSWERED_MS);
     }).timeout(4 * EVACUATION_BOUND_MS);
 
-    it(`is heard of within the bound of configurations when ${count} of them do`, async () => {
-      const heardMs = await heardAfterMs(OBJECT_KINDS.configuration, count);
-      expect(heardMs).to.be.lessThan(CONFIGURATION_BOUND_MS);
+    it(`is received within the bound of configurations when ${count} of them do`, async () => {
+      const delayMs = await receivedAfterMs(OBJECT_KINDS.configuration, count);
+      expect(delayMs).to.be.lessThan(CONFIGURATION_BOUND_MS);
     }).timeout(4 * EVACUATION_BOUND_MS);
   }
 });
--- a/packages/entry/src/peers/store-outage.test.ts
+++ b/packages/entry/src/peers/store-outage.test.ts
@@ -1,4 +1,4 @@
-/** How often an entry host that follows others calls a store that is known to be down. */
+/** Guards the number of calls that an entry host with higher-ranked peers makes to a store that is unavailable. */
 import { expect } from 'chai';
 
 import { silentLog } from '../server/log.js';
@@ -8,10 +8,10 @@
 import { PeerReaderChoice } from './reader-choice.js';
 
 const OUTAGE_MS = 5_000;
-const KINDS = 4;
+const WATCH_COUNT = 4;
 
-describe('a store that is down', () => {
-  it('is asked once in two seconds by a host that others stand before, for all kinds together', async () => {
+describe('a store that is unavailable', () => {
+  it('is called once in two seconds by a host with higher-ranked peers, for all kinds together', async () => {
     let calls = 0;
     const store: KindReader = {
       name: 'store',
@@ -46,7 +46,7 @@
       readerOf: ({ name }) => peers.find(({ member }) => member.name === name)?.reader ?? store,
     });
     const watches = Array.from(
-      { length: KINDS },
+      { length: WATCH_COUNT },
       () =>
         new WatchedKind({
           readers: choice,
