--- a/packages/entry/src/quarantine/crash-evidence.test.ts
+++ b/packages/entry/src/quarantine/crash-evidence.test.ts
@@ -1,4 +1,4 @@
-/** Which request is held responsible for hosts that end, over drawn minutes with and without such requests. */
+/** Which requests are quarantined when hosts end, in random simulations with and without crashing requests. */
 import { expect } from 'chai';
 import fc from 'fast-check';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
@@ -8,8 +8,8 @@
 import { CrashEvidence } from './crash-evidence.js';
 import type { CrashReport } from './run-report.js';
 
-/** Without a loss; each day changes some of it. */
-const CALM: CrashDay = {
+/** The base of each simulation: no losses except of single hosts. */
+const BASE_SCENARIO: CrashDay = {
   hosts: 16,
   requestsPerS: 40,
   crashing: 0,
@@ -19,7 +19,7 @@
   cuts: [],
   lossEveryMs: 5_000,
 };
-const DAYS = 60;
+const SIMULATIONS = 60;
 const SEED = 38;
 
 const time = fc.integer({ min: 500, max: 40_000 });
@@ -41,11 +41,11 @@
   endedBy: number[];
 };
 
-function play(drawn: fc.Arbitrary<Partial<CrashDay>>): Totals {
+function simulate(variations: fc.Arbitrary<Partial<CrashDay>>): Totals {
   const totals: Totals = { harmless: 0, quarantined: 0, alikeQuarantined: 0, endedBy: [] };
-  fc.sample(fc.tuple(drawn, fc.integer()), { seed: SEED, numRuns: DAYS }).forEach(
+  fc.sample(fc.tuple(variations, fc.integer()), { seed: SEED, numRuns: SIMULATIONS }).forEach(
     ([change, seed]) => {
-      const result = playCrashDay({ ...CALM, ...change }, randomOf(seed));
+      const result = playCrashDay({ ...BASE_SCENARIO, ...change }, randomOf(seed));
       totals.harmless += result.harmless;
       totals.quarantined += result.quarantined;
       totals.alikeQuarantined += Number(result.isAlikeQuarantined);
@@ -65,15 +65,15 @@
 }
 
 describe('evidence of requests that crash their hosts', () => {
-  it('quarantines next to no harmless request when racks, single hosts and links are lost', () => {
-    const { harmless, quarantined, alikeQuarantined } = play(fc.record(losses));
+  it('quarantines almost no harmless request when racks, single hosts and links are lost', () => {
+    const { harmless, quarantined, alikeQuarantined } = simulate(fc.record(losses));
     expect(quarantined).to.be.below(harmless / 10_000);
     expect(alikeQuarantined).to.equal(0);
   });
 
-  it('quarantines those that crash hosts, among losses, after few hosts', () => {
+  it('quarantines requests that crash hosts after a few hosts, also among other losses', () => {
     const crashing = fc.constantFrom(1, 2, 3);
-    const { harmless, quarantined, endedBy } = play(fc.record({ ...losses, crashing }));
+    const { harmless, quarantined, endedBy } = simulate(fc.record({ ...losses, crashing }));
     expect(mean(endedBy)).to.be.below(6);
     expect(Math.max(...endedBy)).to.be.at.most(16);
     expect(quarantined).to.be.below(harmless / 3_000);
@@ -82,18 +82,20 @@
   it('quarantines nothing for hosts of one rack that end one after the other', () => {
     const rackLosses = [8_000, 30_000].map(atMs => ({ atMs, overMs: 600 }));
     const lossEveryMs = 1e9;
-    const totals = play(fc.constant({ hosts: 4, alikePart: 0.5, rackLosses, lossEveryMs }));
+    const totals = simulate(fc.constant({ hosts: 4, alikePart: 0.5, rackLosses, lossEveryMs }));
     expect(totals.quarantined).to.equal(0);
   });
 
   it('quarantines nothing for hosts of all racks that end at one moment', () => {
     const powerLosses = [8_000, 30_000];
-    const totals = play(fc.constant({ hosts: 12, alikePart: 0.5, powerLosses, lossEveryMs: 1e9 }));
+    const totals = simulate(
+      fc.constant({ hosts: 12, alikePart: 0.5, powerLosses, lossEveryMs: 1e9 }),
+    );
     expect(totals.quarantined).to.equal(0);
   });
 });
 
-describe('evidence of two requests that ended under the same hosts', () => {
+describe('evidence of two requests that share crashes', () => {
   let now: number;
   let evidence: CrashEvidence;
 
@@ -124,7 +126,7 @@
     return evidence.evaluate().map(({ fingerprint }) => fingerprint);
   }
 
-  it('quarantines neither until the next run tells them apart', () => {
+  it('quarantines neither until the next run separates them', () => {
     crash('h1', 'a', 'b');
     crash('h2', 'a', 'b');
     crash('h3', 'a', 'b');
@@ -135,7 +137,7 @@
     expect(quarantined()).to.deep.equal([]);
   });
 
-  it('quarantines the one as soon as the other was completed', () => {
+  it('quarantines one as soon as the other is completed', () => {
     crash('h1', 'a', 'b');
     crash('h2', 'a', 'b');
     crash('h3', 'a', 'b');
@@ -146,18 +148,18 @@
   });
 
   it('waits for reports of the same crash that arrive later', () => {
-    const tell = (fingerprint: string, host: string, ageMs: number): void => {
+    const reportCrash = (fingerprint: string, host: string, ageMs: number): void => {
       const report = { host: { id: host }, place: host, ranMs: 50, ageMs };
       evidence.note({ kind: 'crashed', fingerprint, ...report, route: 'r', workspace: 'w' });
     };
     ['h1', 'h2', 'h3'].forEach(host => {
       now += 1_000;
-      tell('a', host, 0);
+      reportCrash('a', host, 0);
     });
     expect(evidence.evaluate()).to.deep.equal([]);
     now += 100;
     ['h1', 'h2', 'h3'].forEach((host, index) => {
-      tell('b', host, 100 + (2 - index) * 1_000);
+      reportCrash('b', host, 100 + (2 - index) * 1_000);
     });
     expect(quarantined()).to.deep.equal([]);
   });
@@ -174,7 +176,7 @@
     expect(evidence.crashesOf('a')).to.be.at.most(6);
   });
 
-  it('quarantines both where no run tells them apart', () => {
+  it('quarantines at least one when no run separates them', () => {
     ['h1', 'h2', 'h3', 'h4', 'h5'].forEach(host => {
       crash(host, 'a', 'b');
     });
@@ -182,7 +184,7 @@
   });
 });
 
-describe('evidence that entry hosts tell each other', () => {
+describe('evidence that entry hosts report to each other', () => {
   let now: number;
 
   function crashOf(fingerprint: string, host: string): CrashReport {
@@ -195,7 +197,7 @@
     now = 10_000;
   });
 
-  it('leads all of them to the same verdict, in whatever order and however often it comes', () => {
+  it('leads to the same verdict in any order and with duplicates', () => {
     const order = fc.shuffledSubarray([0, 1, 2, 3, 4, 5, 0, 1, 2, 3, 4, 5], { minLength: 12 });
     fc.assert(
       fc.property(order, indexes => {
@@ -222,19 +224,19 @@
     );
   });
 
-  it('is told once to each, and to whoever starts anew', () => {
+  it('is reported once to each peer, and in full after a restart', () => {
     const evidence = new CrashEvidence(() => now);
     expect(evidence.note(crashOf('a', 'h1'))).to.equal('taken');
     expect(evidence.note(crashOf('a', 'h1'))).to.equal('known');
-    const heard = evidence.sequence;
-    expect(evidence.since(heard)).to.deep.equal([]);
+    const lastSequence = evidence.sequence;
+    expect(evidence.since(lastSequence)).to.deep.equal([]);
     evidence.note(crashOf('a', 'h2'));
-    expect(evidence.since(heard)).to.have.length(1);
+    expect(evidence.since(lastSequence)).to.have.length(1);
     expect(evidence.since(0)).to.have.length(2);
-    expect(evidence.since(heard + 100)).to.have.length(2);
+    expect(evidence.since(lastSequence + 100)).to.have.length(2);
   });
 
-  it('does not bring back crashes from before a run that was completed', () => {
+  it('does not count crashes again that a completed run has cleared', () => {
     const evidence = new CrashEvidence(() => now);
     const old = crashOf('a', 'h1');
     evidence.note(old);
@@ -258,7 +260,7 @@
     expect(evidence.since(0).length).to.be.at.most(2_100);
   });
 
-  it('is forgotten after ten minutes', () => {
+  it('is discarded after ten minutes', () => {
     const evidence = new CrashEvidence(() => now);
     evidence.note(crashOf('a', 'h1'));
     now += 601_000;
--- a/packages/entry/src/quarantine/crash-evidence.ts
+++ b/packages/entry/src/quarantine/crash-evidence.ts
@@ -1,20 +1,20 @@
 /**
- * Decides which request crashes the hosts that run it (a "query of death"), from what all entry hosts have seen.
- * Pure but for what it remembers.
+ * Decides which request crashes the hosts that run it (a "query of death"), from the reports of all entry hosts.
+ * It does no I/O and keeps its evidence in memory.
  *
- * A host that ends takes up to all of its slots of harmless requests with it, and what was lost together is
- * sent again together. So a count of lost hosts alone would quarantine many a harmless request in a bad minute.
- * Five rules separate them; without any of them the tests of this module fail:
+ * A host that ends loses up to all of its slots of harmless requests, and requests that were lost together are
+ * retried together. Counting ended hosts alone would therefore quarantine many harmless requests when several
+ * hosts end within a minute. Five rules prevent this; the tests of this module fail without any one of them:
  *
- * - Hosts that end at the same moment were lost together and count once, those of one place within a second less.
- * - A run that its host completed clears a request of all crashes before it.
- * - A crash has one cause: once a request is quarantined, its crashes count for no other one any more.
- * - While another request has met as many crashes, and the same ones, neither is quarantined: the next run
- *   separates them.
- * - A crash counts only once all entry hosts have had time to report what they had lost by it.
+ * - Hosts that end at the same moment count as one crash; those of one place within a second count half.
+ * - A completed run clears the request of all earlier crashes.
+ * - A crash has one cause: once a request is quarantined, its crashes no longer count against other requests.
+ * - While two requests have equally many crashes and share them, neither is quarantined: the next run separates
+ *   them.
+ * - A crash counts only after all entry hosts have had time to report the runs that they lost in it.
  *
- * Errors that remain: a request is quarantined wrongly when three hosts end for other reasons under its runs and
- * no run ends well in between; a request that crashes its hosts only now and then is never quarantined.
+ * Remaining errors: a request is quarantined wrongly when three hosts end for other reasons during its runs with
+ * no completed run in between. A request that crashes its hosts only occasionally is never quarantined.
  */
 import { incarnationOf } from '../hosts/host-entry.js';
 import { monotonicMs } from '../server/time.js';
@@ -23,45 +23,51 @@
 import type { RequestFingerprint } from './request-fingerprint.js';
 import type { CompletionReport, CrashReport, RequestOrigin, RunReport } from './run-report.js';
 
-/** A request that was found to crash its hosts. */
+/** Names a request that crashes its hosts and is to be quarantined. */
 export type CrashVerdict = RequestOrigin & {
   readonly fingerprint: RequestFingerprint;
-  /** Incarnations of the hosts that have ended under it. */
+  /** Incarnations of the hosts that ended while they ran it. */
   readonly hosts: readonly string[];
 };
 
-/** Whether a report has told anything new. */
+/** Whether a report added evidence (`taken`) or not (`known`). */
 export type ReportOutcome = 'known' | 'taken';
 
-/** Crashes from which a request is quarantined. Two happen to harmless requests: the route lets them run twice. */
+/**
+ * Score at which a request is quarantined. Harmless requests may reach two, since the route lets each run twice.
+ */
 export const LEAST_CRASHES = 3;
-/** Crashes from which it is quarantined even if another one may be their cause. */
-const CERTAIN_CRASHES = 5;
-/** Crashes that two requests have in common from which either may be the cause of all of them. */
-const SHARED_CRASHES = 2;
-/** Completions closer together than this are told once, in milliseconds: each entry host reports its own runs. */
+/** Score at which a request is quarantined even if another one may be the cause. */
+const CERTAIN_SCORE = 5;
+/** Number of crashes that two requests must share for either to be a possible cause of the other's crashes. */
+const MIN_SHARED_CRASHES = 2;
+/**
+ * Completions of a request that are closer together than this count as one, in milliseconds, since each entry host
+ * reports its own runs.
+ */
 const SAME_COMPLETION_MS = 100;
 /**
- * Time after a crash before it is evaluated, in milliseconds. Each entry host reports its own runs at the host;
- * they arrive over up to three links, within some tens of milliseconds.
+ * Time from a crash until it is evaluated, in milliseconds. Each entry host reports the runs that it lost itself;
+ * the reports arrive over up to three links, within some tens of milliseconds.
  */
 const SETTLE_MS = 150;
-/** Time for which crashes are remembered, in milliseconds: callers come back within minutes, if at all. */
-const EVIDENCE_MS = 600_000;
+/** Time for which crashes are kept, in milliseconds: callers that resend a request do so within minutes. */
+const EVIDENCE_RETENTION_MS = 600_000;
 /**
- * Suspects that are remembered, those with most crashes first. 24 runs at each of 16 hosts of a rack are 384;
- * 2,048 take 1 MB.
+ * Maximum number of suspects; those with the most crashes are kept. A rack of 16 hosts with 24 runs each adds
+ * 384 suspects; 2,048 take 1 MB.
  */
-const MOST_SUSPECTS = 2_048;
-/** Crashes that are remembered of one suspect, the newest ones; more than it takes to quarantine it. */
-const MOST_CRASHES = 16;
+const MAX_SUSPECTS = 2_048;
+/** Maximum number of crashes kept for one suspect, the newest ones; more than it takes to quarantine it. */
+const MAX_CRASHES_PER_SUSPECT = 16;
 
+/** A request that was running when hosts ended, or whose completion was reported. */
 type Suspect = {
   readonly fingerprint: RequestFingerprint;
   origin: RequestOrigin;
-  /** In the order of their times. */
+  /** Ordered by time. */
   crashes: Crash[];
-  /** Crashes up to then do not count (monotonic milliseconds). */
+  /** Time of the last completion, in monotonic milliseconds; crashes up to then do not count. */
   clearedAt: number;
   clearedSequence: number;
   isQuarantined: boolean;
@@ -69,76 +75,76 @@
 
 const NO_ORIGIN: RequestOrigin = { route: '', workspace: undefined };
 
-/** The crashes that entry hosts have told of, as far as they are known here. */
+/** Collects the crashes that this and other entry hosts have reported. */
 export class CrashEvidence {
   readonly #suspects = new Map<RequestFingerprint, Suspect>();
-  /** Suspects by the incarnation that ended under them. */
+  /** Suspects by the host incarnation that ended while it ran them. */
   readonly #byHost = new Map<string, Set<RequestFingerprint>>();
-  /** Incarnations whose end is put down to a quarantined request. */
-  readonly #explained = new Set<string>();
-  /** Suspects that were told of since they were evaluated. */
+  /** Incarnations whose end is attributed to a quarantined request. */
+  readonly #attributedHosts = new Set<string>();
+  /** Suspects with evidence that has not been evaluated yet. */
   readonly #pending = new Set<RequestFingerprint>();
   readonly #now: () => number;
   #sequence = 0;
 
-  /** `now` in monotonic milliseconds; for tests. */
+  /** `now` returns monotonic milliseconds; tests replace it. */
   constructor(now: () => number = monotonicMs) {
     this.#now = now;
   }
 
-  /** Number of the newest report; rises with each that tells something new. */
+  /** Sequence number of the newest report; each report that adds evidence increases it. */
   get sequence(): number {
     return this.#sequence;
   }
 
-  /** Requests under which hosts have ended and that are neither cleared nor quarantined. */
+  /** Number of requests with crashes that are neither cleared nor quarantined. */
   get suspects(): number {
     return [...this.#suspects.values()].filter(one => one.crashes.length > 0 && !one.isQuarantined)
       .length;
   }
 
-  /** True while nothing is remembered of any request. */
+  /** True while there is no evidence about any request. */
   get isEmpty(): boolean {
     return this.#suspects.size === 0;
   }
 
-  /** True when hosts have ended under the request, so that a completed run is news. */
+  /** True when the request has crashes, so that a completed run of it has to be reported. */
   isSuspect(fingerprint: RequestFingerprint): boolean {
     return this.crashesOf(fingerprint) > 0;
   }
 
-  /** Hosts that have ended under the request. */
+  /** Number of hosts that ended while they ran the request. */
   crashesOf(fingerprint: RequestFingerprint): number {
     return this.#suspects.get(fingerprint)?.crashes.length ?? 0;
   }
 
-  /** True until {@link evaluate} has looked at the newest crash of the request. */
+  /** True until {@link evaluate} has evaluated the newest crash of the request. */
   isPending(fingerprint: RequestFingerprint): boolean {
     return this.#pending.has(fingerprint);
   }
 
-  /** Takes a report of this or another entry host. */
+  /** Adds a report of this or another entry host. */
   note(report: RunReport): ReportOutcome {
-    if (report.ageMs > EVIDENCE_MS) {
+    if (report.ageMs > EVIDENCE_RETENTION_MS) {
       return 'known';
     }
     return report.kind === 'crashed' ? this.#noteCrash(report) : this.#noteCompletion(report);
   }
 
   /**
-   * The requests that are quarantined now and were not before. To be called again {@link evaluateInMs} later,
-   * where that is given.
+   * Returns the requests that are newly found to crash their hosts. The caller calls it again after
+   * {@link evaluateInMs}, unless that is undefined.
    */
   evaluate(): readonly CrashVerdict[] {
     const settledAt = this.#now() - SETTLE_MS;
     const suspects = [...this.#pending].flatMap(one => this.#suspects.get(one) ?? []);
     const verdicts: CrashVerdict[] = [];
     for (;;) {
-      const worst = this.#worstOf(suspects, settledAt);
-      if (worst === undefined) {
+      const strongest = this.#strongestSuspect(suspects, settledAt);
+      if (strongest === undefined) {
         break;
       }
-      verdicts.push(this.#quarantine(worst));
+      verdicts.push(this.#markCause(strongest));
     }
     suspects.forEach(suspect => {
       const lastCrashAt = suspect.crashes.at(-1)?.at ?? -Infinity;
@@ -149,7 +155,7 @@
     return verdicts;
   }
 
-  /** Milliseconds until reports that were taken can be evaluated; undefined when all are. */
+  /** Milliseconds until the next pending report can be evaluated; undefined when none is pending. */
   evaluateInMs(): number | undefined {
     if (this.#pending.size === 0) {
       return undefined;
@@ -163,17 +169,17 @@
     return Math.max(0, Math.min(...dueAt) - now);
   }
 
-  /** Another entry host has quarantined a request: its crashes count for no other one. */
+  /** Marks a request as quarantined; its crashes no longer count against other requests. */
   quarantine(fingerprint: RequestFingerprint, hosts: readonly string[]): void {
-    this.#of(fingerprint).isQuarantined = true;
+    this.#suspectOf(fingerprint).isQuarantined = true;
     hosts.forEach(host => {
-      this.#explained.add(host);
+      this.#attributedHosts.add(host);
     });
   }
 
   /**
-   * Reports after a sequence number that another entry host should know. A number that is not reached yet is
-   * of an earlier start of this process.
+   * Returns the reports after a sequence number, for another entry host. A number above the current one is from an
+   * earlier start of this process, so all reports are returned.
    */
   since(sequence: number): readonly RunReport[] {
     if (sequence === this.#sequence) {
@@ -181,7 +187,7 @@
     }
     const now = this.#now();
     const after = sequence > this.#sequence ? 0 : sequence;
-    this.#forgetOld(now);
+    this.#forgetExpired(now);
     return [...this.#suspects.values()].flatMap(suspect => reportsOf(suspect, after, now));
   }
 
@@ -189,12 +195,12 @@
     const { fingerprint, host: incarnation, place, ranMs, ageMs, ...origin } = report;
     const host = incarnationOf(incarnation);
     const at = this.#now() - ageMs;
-    const suspect = this.#of(fingerprint);
+    const suspect = this.#suspectOf(fingerprint);
     const sentAt = at - ranMs;
-    // Entry hosts may each have had a run there: of several the one that was sent first counts.
+    // Several entry hosts may each have had a run at the host; the one that was sent first counts.
     const known = suspect.crashes.find(crash => crash.host === host);
-    const isNews = known === undefined || sentAt < known.sentAt - TRANSIT_MS;
-    if (!isNews || at <= suspect.clearedAt) {
+    const isNew = known === undefined || sentAt < known.sentAt - TRANSIT_MS;
+    if (!isNew || at <= suspect.clearedAt) {
       return 'known';
     }
     this.#sequence += 1;
@@ -209,22 +215,22 @@
     };
     const others = suspect.crashes.filter(other => other !== known);
     const crashes = [...others, crash].sort((a, b) => a.at - b.at);
-    this.#forgetCrashes(suspect, crashes.slice(0, -MOST_CRASHES));
-    suspect.crashes = crashes.slice(-MOST_CRASHES);
+    this.#forgetCrashes(suspect, crashes.slice(0, -MAX_CRASHES_PER_SUSPECT));
+    suspect.crashes = crashes.slice(-MAX_CRASHES_PER_SUSPECT);
     this.#suspectsAt(host).add(fingerprint);
     if (suspect.isQuarantined) {
-      this.#explained.add(host);
+      this.#attributedHosts.add(host);
     } else {
       this.#pending.add(fingerprint);
     }
-    this.#keepBound();
+    this.#enforceLimit();
     return 'taken';
   }
 
   #noteCompletion({ fingerprint, ageMs }: CompletionReport): ReportOutcome {
     const at = this.#now() - ageMs;
-    const suspect = this.#of(fingerprint);
-    // Several entry hosts may report it at once; one is enough.
+    const suspect = this.#suspectOf(fingerprint);
+    // Several entry hosts may report completions at the same time; one is enough.
     if (at <= suspect.clearedAt + SAME_COMPLETION_MS) {
       return 'known';
     }
@@ -232,7 +238,7 @@
     suspect.clearedAt = at;
     suspect.clearedSequence = this.#sequence;
     suspect.isQuarantined = false;
-    this.#evaluateAnew(suspect);
+    this.#reevaluateSharing(suspect);
     this.#forgetCrashes(
       suspect,
       suspect.crashes.filter(crash => crash.at <= at),
@@ -241,7 +247,7 @@
     return 'taken';
   }
 
-  #of(fingerprint: RequestFingerprint): Suspect {
+  #suspectOf(fingerprint: RequestFingerprint): Suspect {
     let suspect = this.#suspects.get(fingerprint);
     if (suspect === undefined) {
       suspect = {
@@ -266,28 +272,28 @@
     return fingerprints;
   }
 
-  // Of those that may be quarantined, the one that explains most crashes.
-  #worstOf(suspects: readonly Suspect[], settledAt: number): Suspect | undefined {
-    let worst: { readonly suspect: Suspect; readonly score: number } | undefined;
+  // Returns the suspect with the highest score among those that may be quarantined.
+  #strongestSuspect(suspects: readonly Suspect[], settledAt: number): Suspect | undefined {
+    let strongest: { readonly suspect: Suspect; readonly score: number } | undefined;
     for (const suspect of suspects) {
       const crashScore = this.#scoreOf(suspect, settledAt);
       const isEnough = crashScore.score >= LEAST_CRASHES && !suspect.isQuarantined;
-      const isClear =
-        crashScore.score >= CERTAIN_CRASHES || !this.#hasOtherCause(suspect, crashScore, settledAt);
-      if (isEnough && isClear && crashScore.score > (worst?.score ?? 0)) {
-        worst = { suspect, score: crashScore.score };
+      const isUnambiguous =
+        crashScore.score >= CERTAIN_SCORE || !this.#hasOtherCause(suspect, crashScore, settledAt);
+      if (isEnough && isUnambiguous && crashScore.score > (strongest?.score ?? 0)) {
+        strongest = { suspect, score: crashScore.score };
       }
     }
-    return worst?.suspect;
+    return strongest?.suspect;
   }
 
-  // Later crashes wait for the reports of other entry hosts, which may name another request.
+  // Crashes after `settledAt` are left out: other entry hosts may still report other requests for them.
   #scoreOf({ crashes }: Suspect, settledAt: number): CrashScore {
     const settled = crashes.filter(({ at }) => at <= settledAt);
-    return crashScoreOf(settled, this.#explained);
+    return crashScoreOf(settled, this.#attributedHosts);
   }
 
-  // True when another suspect has met as many crashes, and some of them the same: it may be their cause.
+  // True when another suspect has at least the same score and shares crashes, so that it may be their cause.
   #hasOtherCause(
     { fingerprint }: Suspect,
     { score, hosts }: CrashScore,
@@ -302,21 +308,21 @@
       }
       const crashScore = this.#scoreOf(suspect, settledAt);
       const shared = crashScore.hosts.filter(host => hosts.includes(host)).length;
-      return crashScore.score >= score && shared >= SHARED_CRASHES;
+      return crashScore.score >= score && shared >= MIN_SHARED_CRASHES;
     });
   }
 
-  #quarantine(suspect: Suspect): CrashVerdict {
+  #markCause(suspect: Suspect): CrashVerdict {
     suspect.isQuarantined = true;
     const hosts = suspect.crashes.map(({ host }) => host);
     hosts.forEach(host => {
-      this.#explained.add(host);
+      this.#attributedHosts.add(host);
     });
     return { fingerprint: suspect.fingerprint, hosts, ...suspect.origin };
   }
 
-  // Whoever was not quarantined because this suspect had met the same crashes may be now.
-  #evaluateAnew({ crashes }: Suspect): void {
+  // Requests that were not quarantined because this suspect shared their crashes may be quarantined now.
+  #reevaluateSharing({ crashes }: Suspect): void {
     for (const { host } of crashes) {
       this.#suspectsAt(host).forEach(fingerprint => {
         this.#pending.add(fingerprint);
@@ -330,7 +336,7 @@
       fingerprints.delete(suspect.fingerprint);
       if (fingerprints.size === 0) {
         this.#byHost.delete(host);
-        this.#explained.delete(host);
+        this.#attributedHosts.delete(host);
       }
     }
   }
@@ -341,25 +347,25 @@
     this.#pending.delete(suspect.fingerprint);
   }
 
-  #forgetOld(now: number): void {
+  #forgetExpired(now: number): void {
     for (const suspect of this.#suspects.values()) {
       const lastAt = Math.max(suspect.clearedAt, suspect.crashes.at(-1)?.at ?? -Infinity);
-      if (now - lastAt > EVIDENCE_MS && !suspect.isQuarantined) {
+      if (now - lastAt > EVIDENCE_RETENTION_MS && !suspect.isQuarantined) {
         this.#forget(suspect);
       }
     }
   }
 
-  // Makes room for an eighth at once, so that it is not sorted for each report.
-  #keepBound(): void {
-    if (this.#suspects.size <= MOST_SUSPECTS) {
+  // Removes an eighth of the suspects at once, so that they are not sorted for each report.
+  #enforceLimit(): void {
+    if (this.#suspects.size <= MAX_SUSPECTS) {
       return;
     }
-    this.#forgetOld(this.#now());
+    this.#forgetExpired(this.#now());
     const weakest = [...this.#suspects.values()]
       .filter(({ isQuarantined }) => !isQuarantined)
       .sort((a, b) => a.crashes.length - b.crashes.length || lastAtOf(a) - lastAtOf(b));
-    const surplus = this.#suspects.size - (MOST_SUSPECTS * 7) / 8;
+    const surplus = this.#suspects.size - (MAX_SUSPECTS * 7) / 8;
     weakest.slice(0, Math.max(0, surplus)).forEach(suspect => {
       this.#forget(suspect);
     });
--- a/packages/entry/src/quarantine/lost-runs.test.ts
+++ b/packages/entry/src/quarantine/lost-runs.test.ts
@@ -1,4 +1,4 @@
-/** What becomes of lost runs: one cause of the loss in each test. */
+/** How lost runs are classified; each test has another cause of the loss. */
 import { expect } from 'chai';
 
 import type { HostEntry } from '../hosts/host-entry.js';
@@ -61,7 +61,7 @@
     expect(host?.reports[0]?.host).to.deep.equal({ id: 'h1', startedAt: 7 });
   });
 
-  it('tell two starts of a host apart', async () => {
+  it('of two starts of a host are reported separately', async () => {
     const lost = lostRuns('ended');
     lost.note(RUN);
     await settle();
@@ -70,7 +70,7 @@
     expect(ended.map(({ reports }) => reports[0]?.host.startedAt)).to.deep.equal([7, 8]);
   });
 
-  it('by a reset connection are no evidence', async () => {
+  it('with a reset connection are no evidence', async () => {
     const lost = lostRuns('alive');
     lost.note(RUN);
     await settle();
@@ -78,14 +78,14 @@
     expect(counters.value('lost_runs_total', { host: 'alive' })).to.equal(1);
   });
 
-  it('at a host that can not be reached are no evidence', async () => {
+  it('at a host that cannot be reached are no evidence', async () => {
     const lost = lostRuns('unknown');
     lost.note(RUN);
     await settle();
     expect(ended).to.deep.equal([]);
   });
 
-  it('at a host that has announced its end are no evidence, and no reason for a probe', async () => {
+  it('at a host that has announced its shutdown are no evidence and start no probe', async () => {
     const lost = lostRuns('ended', { isExpected: () => false });
     lost.note(RUN);
     await settle();
@@ -93,7 +93,7 @@
     expect(probes).to.equal(0);
   });
 
-  it('at a host that refuses new connections while another run goes on are no evidence', async () => {
+  it('at a host that refuses new connections while another run makes progress are no evidence', async () => {
     const lost = lostRuns('ended', { progressedAt: () => Infinity });
     lost.note(RUN);
     await settle();
--- a/packages/entry/src/quarantine/lost-runs.ts
+++ b/packages/entry/src/quarantine/lost-runs.ts
@@ -1,6 +1,6 @@
 /**
- * Tells runs that were in progress when their host ended from those that were lost in other ways: a connection
- * that was reset, a host that closes idle connections, one that leaves as announced, a link that broke.
+ * Separates runs that were in progress when their host's process ended from runs that were lost in other ways: a
+ * reset connection, a host that closes idle connections, an announced shutdown, a broken link.
  */
 import type { HostEntry } from '../hosts/host-entry.js';
 import { incarnationOf } from '../hosts/host-entry.js';
@@ -10,89 +10,91 @@
 import type { RequestFingerprint } from './request-fingerprint.js';
 import type { CrashReport, RequestOrigin } from './run-report.js';
 
-/** A run whose connection ended before its answer did. */
+/** A run whose connection ended before its answer was complete. */
 export type LostRun = RequestOrigin & {
   readonly fingerprint: RequestFingerprint;
-  /** The host as it was when the request was sent. */
+  /** The host's entry at the time of the send. */
   readonly host: HostEntry;
   /** Time from the send to the loss, in milliseconds. */
   readonly ranMs: number;
 };
 
-/** A host that has ended, with what was in progress there. */
+/** A host whose process has ended, and the runs that were in progress there. */
 export type EndedHost = {
   readonly host: HostEntry;
-  /** One for each request. */
+  /** One report for each request. */
   readonly reports: readonly CrashReport[];
 };
 
-/** What lost runs are classified by. */
+/** What {@link LostRuns} uses to classify lost runs. */
 export type LostRunsOptions = {
   readonly probe: (host: HostEntry) => Promise<ProbeOutcome>;
-  /** True while the host is listed and has not announced its end. */
+  /** True while the host is registered and has not announced its shutdown. */
   readonly isExpected: (host: HostEntry) => boolean;
   /** When bytes last came from the host, in monotonic milliseconds. */
   readonly progressedAt: (hostId: string) => number;
+  /** Called when a host has ended with runs in progress. */
   readonly ended: (host: EndedHost) => void;
   readonly counters: Counters;
-  /** Monotonic milliseconds; for tests. */
+  /** Returns monotonic milliseconds; tests replace it. */
   readonly now?: () => number;
 };
 
+/** A lost run, and when it was lost in monotonic milliseconds. */
 type Loss = { readonly run: LostRun; readonly at: number };
 
-/** Collects the lost runs of each host until a probe has told what became of it. */
+/** Collects the lost runs of each host until a probe of the host has finished. */
 export class LostRuns {
   readonly #options: LostRunsOptions;
-  readonly #probed = new Map<string, Loss[]>();
+  readonly #lossesByHost = new Map<string, Loss[]>();
 
   constructor(options: LostRunsOptions) {
     this.#options = options;
   }
 
-  /** True while it is not known yet what became of the host of a lost run of the request. */
+  /** True while the host of a lost run of the request still has a probe in progress. */
   isPending(fingerprint: RequestFingerprint): boolean {
-    return [...this.#probed.values()].some(losses =>
+    return [...this.#lossesByHost.values()].some(losses =>
       losses.some(({ run }) => run.fingerprint === fingerprint),
     );
   }
 
-  /** Takes a lost run. */
+  /** Adds a lost run and probes its host, unless a probe is in progress. */
   note(run: LostRun): void {
     const { isExpected, counters } = this.#options;
-    // A host that said that it leaves, or whose entry has gone, may end with requests that it did not finish.
+    // A host that announced its shutdown, or whose entry was removed, may end with unfinished requests.
     if (!isExpected(run.host)) {
       counters.count('lost_runs_total', { host: 'leaving' });
       return;
     }
     const key = incarnationOf(run.host);
     const loss = { run, at: this.#now() };
-    const probed = this.#probed.get(key);
-    if (probed !== undefined) {
-      probed.push(loss);
+    const pendingLosses = this.#lossesByHost.get(key);
+    if (pendingLosses !== undefined) {
+      pendingLosses.push(loss);
       return;
     }
-    this.#probed.set(key, [loss]);
+    this.#lossesByHost.set(key, [loss]);
     void this.#classify(run.host, key);
   }
 
   async #classify(host: HostEntry, key: string): Promise<void> {
     const { probe, progressedAt, ended, counters } = this.#options;
     const outcome = await probe(host);
-    const losses = this.#probed.get(key) ?? [];
-    this.#probed.delete(key);
-    // Where another run goes on, only new connections fail: the host is full, or a link to it breaks them.
-    const goesOn = progressedAt(host.id) > (losses[0]?.at ?? Infinity);
-    const verdict = outcome === 'ended' && goesOn ? 'alive' : outcome;
-    counters.count('lost_runs_total', { host: verdict }, losses.length);
-    if (verdict === 'ended') {
+    const losses = this.#lossesByHost.get(key) ?? [];
+    this.#lossesByHost.delete(key);
+    // While another run makes progress, only new connections fail: the host is full, or a link breaks them.
+    const isInProgress = progressedAt(host.id) > (losses[0]?.at ?? Infinity);
+    const hostState = outcome === 'ended' && isInProgress ? 'alive' : outcome;
+    counters.count('lost_runs_total', { host: hostState }, losses.length);
+    if (hostState === 'ended') {
       ended({ host, reports: this.#reportsOf(host, losses) });
     }
   }
 
   #reportsOf(host: HostEntry, losses: readonly Loss[]): readonly CrashReport[] {
     const now = this.#now();
-    // Of several runs of one request the one that was sent first.
+    // Of several runs of one request, the one that was sent first is kept.
     const lastSentFirst = [...losses].sort((a, b) => a.run.ranMs - b.run.ranMs);
     const byFingerprint = new Map(lastSentFirst.map(loss => [loss.run.fingerprint, loss]));
     return [...byFingerprint.values()].map(({ run, at }) => ({
--- a/packages/entry/src/quarantine/quarantine-keeper.ts
+++ b/packages/entry/src/quarantine/quarantine-keeper.ts
@@ -1,4 +1,4 @@
-/** Keeps the object store's list of quarantined requests; runs on the entry host that holds the lease. */
+/** Maintains the object store's list of quarantined requests. Active on the lease holder. */
 import { FailureSeries } from '../server/failure-series.js';
 import type { Log } from '../server/log.js';
 import { sleep } from '../server/time.js';
@@ -9,7 +9,7 @@
 import type { QuarantinedRequests } from './quarantined-requests.js';
 import { MOST_QUARANTINED } from './quarantined-requests.js';
 
-/** Options of a keeper. */
+/** What a {@link QuarantineKeeper} works with. */
 export type QuarantineKeeperOptions = {
   readonly requests: QuarantinedRequests;
   readonly store: ObjectStore;
@@ -19,14 +19,14 @@
 };
 
 /**
- * Period in which requests are written that only evidence tells of, in milliseconds. Until then the entry hosts
- * know of them from each other; all of them would have to be lost within it to forget one.
+ * Period between writes of newly quarantined requests to the store, in milliseconds. Until a request is written,
+ * the entry hosts know it from each other's reports; it is lost only if all of them end within this period.
  */
-const PERIOD_MS = 250;
+const WRITE_PERIOD_MS = 250;
 
 /**
- * Writes what evidence has found, and removes what has expired. One writer is enough, since all entry hosts have
- * the same evidence; a later holder of the lease writes what this one did not.
+ * Writes newly quarantined requests to the store and removes expired ones. One writer is enough, since all entry
+ * hosts have the same evidence; the next lease holder writes what this one did not.
  */
 export class QuarantineKeeper {
   readonly #options: QuarantineKeeperOptions;
@@ -38,21 +38,21 @@
     this.#failures = new FailureSeries(options.log, 'write the list of quarantined requests');
   }
 
-  /** Runs until it is stopped. */
+  /** Writes periodically until {@link stop} is called. */
   async run(): Promise<void> {
     const { requests, holdsLease } = this.#options;
     while (!this.#abort.signal.aborted) {
-      await sleep(PERIOD_MS, this.#abort.signal);
+      await sleep(WRITE_PERIOD_MS, this.#abort.signal);
       if (holdsLease()) {
         for (const request of requests.all) {
-          await this.#keep(request);
+          await this.#maintain(request);
         }
         await this.#trim();
       }
     }
   }
 
-  /** Ends the task. */
+  /** Ends {@link run}. */
   stop(): void {
     this.#abort.abort();
   }
@@ -61,15 +61,17 @@
     const { requests } = this.#options;
     const { oldest } = requests;
     if (requests.size > MOST_QUARANTINED && oldest !== undefined) {
-      await this.#attempt(() => this.#remove(oldest, 'oldest of too many'));
+      await this.#recordOutcomeOf(() =>
+        this.#remove(oldest, 'limit reached, oldest entry removed'),
+      );
     }
   }
 
-  #keep(request: QuarantinedRequest): Promise<void> {
-    return this.#attempt(() => this.#keepOnce(request));
+  #maintain(request: QuarantinedRequest): Promise<void> {
+    return this.#recordOutcomeOf(() => this.#writeOrExpire(request));
   }
 
-  async #attempt(call: () => Promise<void>): Promise<void> {
+  async #recordOutcomeOf(call: () => Promise<void>): Promise<void> {
     try {
       await call();
       this.#failures.succeeded();
@@ -78,13 +80,13 @@
     }
   }
 
-  async #keepOnce(request: QuarantinedRequest): Promise<void> {
+  async #writeOrExpire(request: QuarantinedRequest): Promise<void> {
     const { requests, store } = this.#options;
     const { fingerprint, revision } = request;
     if (revision === undefined) {
       const kind = OBJECT_KINDS.quarantine;
       const { object } = await store.create(kind, fingerprint, objectValue(request));
-      // Written by an earlier holder where it is there already.
+      // If the object exists already, an earlier lease holder has written it.
       if (object !== undefined) {
         requests.noteWritten(object);
       }
@@ -95,11 +97,11 @@
 
   async #remove({ fingerprint, revision }: QuarantinedRequest, reason: string): Promise<void> {
     const { requests, store } = this.#options;
-    const isGone =
+    const isRemoved =
       revision === undefined ||
       (await store.remove(OBJECT_KINDS.quarantine, fingerprint, revision));
-    // Else it has changed, by a trial: the watch brings the change.
-    if (isGone) {
+    // Otherwise a trial has updated the object, and the watch delivers that update.
+    if (isRemoved) {
       requests.lift(fingerprint, reason);
     }
   }
--- a/packages/entry/src/quarantine/quarantine-trials.test.ts
+++ b/packages/entry/src/quarantine/quarantine-trials.test.ts
@@ -1,4 +1,4 @@
-/** Trials of requests in quarantine, and who writes them to the store. */
+/** Trials of quarantined requests, and writing these requests to the store. */
 import { expect } from 'chai';
 
 import { silentLog } from '../server/log.js';
@@ -11,12 +11,12 @@
 import { QuarantinedRequests } from './quarantined-requests.js';
 
 const VERDICT = { fingerprint: 'f', route: 'chat', workspace: 'north', hosts: ['h1', 'h2', 'h3'] };
-/** Time in which a keeper writes what it has to, in milliseconds. */
-const KEPT_MS = 350;
+/** Time in which a keeper completes its writes, in milliseconds. */
+const KEEPER_MS = 350;
 const MINUTE_MS = 60_000;
 
-/** The objects of one kind, with conditional writes. */
-class Objects {
+/** An in-memory store for objects of one kind, with conditional writes. */
+class MemoryStore {
   readonly objects = new Map<string, StoredObject>();
   isDown = false;
   #revision = 0;
@@ -32,11 +32,11 @@
     },
   };
 
-  #write(fits: boolean, name: string, value: unknown): Promise<WriteAnswer> {
+  #write(isAllowed: boolean, name: string, value: unknown): Promise<WriteAnswer> {
     if (this.isDown) {
       return Promise.reject(new StoreError('refused', 'down'));
     }
-    if (!fits) {
+    if (!isAllowed) {
       return Promise.resolve({ kind: 'conflict', object: this.objects.get(name) });
     }
     this.#revision += 1;
@@ -46,7 +46,7 @@
   }
 }
 
-/** One request, in quarantine since a time of day. */
+/** Holds one request, in quarantine since a wall-clock time in milliseconds. */
 function requestsSince(since: number): QuarantinedRequests {
   const requests = new QuarantinedRequests({
     entered: () => undefined,
@@ -59,7 +59,7 @@
   return requests;
 }
 
-/** A keeper that holds the lease. */
+/** Returns a keeper on the lease holder. */
 function keeperOf(requests: QuarantinedRequests, store: ObjectStore): QuarantineKeeper {
   return new QuarantineKeeper({ requests, store, holdsLease: () => true, log: silentLog() });
 }
@@ -76,11 +76,11 @@
 }
 
 describe('trials of a request in quarantine', () => {
-  let objects: Objects;
+  let objects: MemoryStore;
   let since: number;
 
   beforeEach(() => {
-    objects = new Objects();
+    objects = new MemoryStore();
     since = Date.now() - 2 * MINUTE_MS;
   });
 
@@ -96,10 +96,10 @@
   }
 
   function keep(requests: QuarantinedRequests): Promise<void> {
-    return keepFor(KEPT_MS, requests, objects.store);
+    return keepFor(KEEPER_MS, requests, objects.store);
   }
 
-  it('go to one of all entry hosts that ask at the same moment', async () => {
+  it('are granted to one of the entry hosts that claim them at the same time', async () => {
     const hosts = Array.from({ length: 8 }, entryHost);
     const [first] = hosts;
     await keep((first as (typeof hosts)[number]).requests);
@@ -113,14 +113,14 @@
     expect(again.filter(isClaimed => isClaimed)).to.have.length(0);
   });
 
-  it('wait for a minute', async () => {
+  it('start after a minute', async () => {
     since = Date.now() - MINUTE_MS / 2;
     const { requests, trials } = entryHost();
     await keep(requests);
     expect(await trials.claim('f')).to.equal(false);
   });
 
-  it('do not happen while the store can not agree to them', async () => {
+  it('are not granted before the request is in the store or while the store is down', async () => {
     const { requests, trials } = entryHost();
     expect(await trials.claim('f')).to.equal(false);
     await keep(requests);
@@ -128,7 +128,7 @@
     expect(await trials.claim('f')).to.equal(false);
   });
 
-  it('that go well take the request out of the store', async () => {
+  it('that succeed remove the request from the store', async () => {
     const { requests, trials } = entryHost();
     await keep(requests);
     const request = requests.get('f');
@@ -141,25 +141,25 @@
 });
 
 describe('the list of requests in quarantine', () => {
-  it('is written again once the store is back', async () => {
-    const objects = new Objects();
+  it('is written once the store is available again', async () => {
+    const objects = new MemoryStore();
     objects.isDown = true;
     const requests = requestsSince(Date.now());
     const keeper = keeperOf(requests, objects.store);
     void keeper.run();
-    await new Promise(resolve => setTimeout(resolve, KEPT_MS));
+    await new Promise(resolve => setTimeout(resolve, KEEPER_MS));
     expect(objects.objects.size).to.equal(0);
     objects.isDown = false;
-    await new Promise(resolve => setTimeout(resolve, KEPT_MS));
+    await new Promise(resolve => setTimeout(resolve, KEEPER_MS));
     keeper.stop();
     expect(objects.objects.size).to.equal(1);
     expect(requests.get('f')?.revision).to.equal(1);
   });
 
-  it('loses what is over a week old', async () => {
-    const objects = new Objects();
+  it('loses entries that are over a week old', async () => {
+    const objects = new MemoryStore();
     const requests = requestsSince(Date.now() - 8 * 24 * 60 * MINUTE_MS);
-    await keepFor(2 * KEPT_MS, requests, objects.store);
+    await keepFor(2 * KEEPER_MS, requests, objects.store);
     expect(objects.objects.size).to.equal(0);
     expect(requests.size).to.equal(0);
   });
--- a/packages/entry/src/quarantine/quarantine-trials.ts
+++ b/packages/entry/src/quarantine/quarantine-trials.ts
@@ -1,6 +1,6 @@
 /**
- * Lets a quarantined request run once in a while, as a circuit breaker that is half open: what was quarantined
- * wrongly, or crashed an engine that was replaced since, is served again without an operator.
+ * Lets a quarantined request run occasionally, like a half-open circuit breaker. A request that was quarantined
+ * wrongly, or that crashed an engine that has since been replaced, is served again without an operator.
  */
 import type { Log } from '../server/log.js';
 import { sleep } from '../server/time.js';
@@ -11,18 +11,18 @@
 import type { QuarantinedRequests } from './quarantined-requests.js';
 import type { RequestFingerprint } from './request-fingerprint.js';
 
-/** Options of the trials. */
+/** What {@link QuarantineTrials} works with. */
 export type QuarantineTrialsOptions = {
   readonly requests: QuarantinedRequests;
   readonly store: ObjectStore;
   readonly log: Log;
 };
 
-/** Attempts to remove a request from the store after a trial that went well, and the pause between them. */
+/** Attempts to remove a request from the store after a successful trial, and the pause between them. */
 const REMOVAL_ATTEMPTS = 20;
 const REMOVAL_PAUSE_MS = 1_000;
 
-/** Claims trials: one at a time among all entry hosts, by a conditional update of the request's object. */
+/** Claims trials, one at a time among all entry hosts, by a conditional update of the request's object. */
 export class QuarantineTrials {
   readonly #options: QuarantineTrialsOptions;
   readonly #claiming = new Set<RequestFingerprint>();
@@ -31,7 +31,7 @@
     this.#options = options;
   }
 
-  /** True when this entry host may send the request to one host, once. */
+  /** Claims the next trial. Resolves to true when this entry host may send the request once, to one host. */
   async claim(fingerprint: RequestFingerprint): Promise<boolean> {
     const request = this.#options.requests.get(fingerprint);
     const isDue = request !== undefined && Date.now() >= nextTrialAt(request);
@@ -40,13 +40,13 @@
     }
     this.#claiming.add(fingerprint);
     try {
-      return await this.#claimAtStore(request);
+      return await this.#claimInStore(request);
     } finally {
       this.#claiming.delete(fingerprint);
     }
   }
 
-  /** Removes a request that a host has completed, so that it leaves quarantine everywhere. */
+  /** Removes a request that a host has completed from the store, so that it leaves quarantine everywhere. */
   async remove({ fingerprint, revision }: QuarantinedRequest): Promise<void> {
     const { store, log } = this.#options;
     for (let attempt = 0; attempt < REMOVAL_ATTEMPTS && revision !== undefined; attempt++) {
@@ -60,7 +60,7 @@
     }
   }
 
-  async #claimAtStore(request: QuarantinedRequest): Promise<boolean> {
+  async #claimInStore(request: QuarantinedRequest): Promise<boolean> {
     const { requests, store, log } = this.#options;
     const { fingerprint, revision, trials } = request;
     if (revision === undefined) {
--- a/packages/entry/src/quarantine/quarantined-requests.test.ts
+++ b/packages/entry/src/quarantine/quarantined-requests.test.ts
@@ -1,4 +1,4 @@
-/** Requests in quarantine, from evidence, the store and an operator. */
+/** How evidence, the store and an operator add and remove quarantined requests. */
 import { expect } from 'chai';
 
 import { silentLog } from '../server/log.js';
@@ -38,13 +38,13 @@
     return requests.get('f') as QuarantinedRequest;
   }
 
-  it('are the same again after the store', () => {
+  it('are unchanged when written to the store and read back', () => {
     const request = quarantined();
     const read = readQuarantined(objectOf(request, 4));
     expect(read).to.deep.equal({ ...request, revision: 4 });
   });
 
-  it('are known by a host that has only read the store', () => {
+  it('are known to an entry host that has only read the store', () => {
     const request = quarantined();
     requests.lift('f', 'test');
     requests.observer.listed({ objects: [objectOf(request, 4)], revision: 5 });
@@ -52,7 +52,7 @@
     expect(entered).to.deep.equal(['f', 'f']);
   });
 
-  it('stay although an older list lacks them', () => {
+  it('stay when an older list does not contain them', () => {
     quarantined();
     requests.observer.listed({ objects: [], revision: 5 });
     expect(requests.get('f')).to.not.equal(undefined);
@@ -67,28 +67,28 @@
     expect(left).to.deep.equal(['f']);
   });
 
-  it('leave when a later list lacks them', () => {
+  it('leave when a later list does not contain them', () => {
     const object = objectOf(quarantined(), 4);
     requests.observer.changed([{ object, deleted: false }]);
     requests.observer.listed({ objects: [], revision: 9 });
     expect(left).to.deep.equal(['f']);
   });
 
-  it('are not disturbed by objects that can not be read', () => {
+  it('are not affected by objects that cannot be parsed', () => {
     const values = [null, 7, 'text', [], {}, { route: 1 }, { ...VERDICT, hosts: [1], since: 1 }];
     const objects = values.map((value, index) => ({ name: `x${index}`, revision: 3, value }));
     requests.observer.listed({ objects: [...objects, objectOf(quarantined(), 4)], revision: 5 });
     expect(requests.all.map(({ fingerprint }) => fingerprint)).to.deep.equal(['f']);
   });
 
-  it('are bounded in memory when the store can not be written', () => {
+  it('are limited in memory when the store cannot be written', () => {
     for (let index = 0; index < 5_000; index++) {
       requests.quarantine({ ...VERDICT, fingerprint: `f${index}` });
     }
     expect(requests.size).to.be.at.most(2_000);
   });
 
-  it('may run three times, after a minute, eleven, and two hours, and are forgotten after a week', () => {
+  it('may run three times, after 1 minute, 11 minutes and two hours, and expire after a week', () => {
     const request = quarantined();
     expect(nextTrialAt(request)).to.equal(NOW + MINUTE_MS);
     const tried = { ...request, trials: 1, lastTrialAt: NOW + MINUTE_MS };
--- a/packages/entry/src/quarantine/quarantined-requests.ts
+++ b/packages/entry/src/quarantine/quarantined-requests.ts
@@ -1,6 +1,6 @@
 /**
- * The requests that are in quarantine, as this entry host knows them: from the evidence of all entry hosts,
- * and from the object store, where they outlast every process.
+ * Holds the requests in quarantine that this entry host knows. They come from the evidence of all entry hosts and
+ * from the object store, which keeps them across restarts.
  */
 import type { Revision } from '@hingescale/core';
 import { isLaterRevision, isOfEarlierEra } from '@hingescale/core';
@@ -14,27 +14,27 @@
 import { readQuarantined } from './quarantined-request.js';
 import type { RequestFingerprint } from './request-fingerprint.js';
 
-/** Options of the quarantined requests. */
+/** What {@link QuarantinedRequests} works with. */
 export type QuarantinedRequestsOptions = {
-  /** A request came in that was not known to be in quarantine. */
+  /** Called when a request was added that was not in quarantine before. */
   readonly entered: (request: QuarantinedRequest) => void;
-  /** A request was taken out: by an operator, by a trial that went well, or for being the oldest of too many. */
+  /** Called when a request was removed: by an operator, after a successful trial, or as the oldest over the limit. */
   readonly left: (fingerprint: RequestFingerprint) => void;
   readonly log: Log;
   readonly metrics: Metrics;
-  /** Wall-clock milliseconds; for tests. */
+  /** Returns wall-clock milliseconds; tests replace it. */
   readonly wallNow?: () => number;
 };
 
 /**
- * Requests that are kept in the store; of more the oldest goes. Bounds the list to 200 kB when the requests of
- * some caller crash hosts by the thousand.
+ * Maximum number of requests in the store; beyond it the oldest is removed. This limits the list to 200 kB when a
+ * caller sends thousands of requests that crash hosts.
  */
 export const MOST_QUARANTINED = 500;
-/** The same in memory, also while the store can not be written: 2 MB. */
-const MOST_IN_MEMORY = 4 * MOST_QUARANTINED;
+/** Maximum number of requests in memory (2 MB), which also holds while the store cannot be written. */
+const MAX_IN_MEMORY = 4 * MOST_QUARANTINED;
 
-/** Keeps the requests. */
+/** The set of quarantined requests of one entry host. */
 export class QuarantinedRequests {
   readonly #options: QuarantinedRequestsOptions;
   readonly #requests = new Map<RequestFingerprint, QuarantinedRequest>();
@@ -46,35 +46,35 @@
     ]);
   }
 
-  /** All of them. */
+  /** All requests in quarantine. */
   get all(): readonly QuarantinedRequest[] {
     return [...this.#requests.values()];
   }
 
-  /** The one that has been in quarantine for longest. */
+  /** The request that has been in quarantine the longest. */
   get oldest(): QuarantinedRequest | undefined {
     const [first, ...rest] = this.#requests.values();
     return rest.reduce((a, b) => (a !== undefined && b.since < a.since ? b : a), first);
   }
 
-  /** Number of them. */
+  /** Number of requests in quarantine. */
   get size(): number {
     return this.#requests.size;
   }
 
-  /** One of them. */
+  /** The quarantined request with a fingerprint; undefined when it is not in quarantine. */
   get(fingerprint: RequestFingerprint): QuarantinedRequest | undefined {
     return this.#requests.get(fingerprint);
   }
 
-  /** Takes a request that this entry host has found to crash its hosts. */
+  /** Adds a request that this entry host has found to crash its hosts. */
   quarantine({ fingerprint, hosts, route, workspace }: CrashVerdict): void {
     const since = (this.#options.wallNow ?? Date.now)();
     const origin = { fingerprint, hosts, route, workspace };
-    this.#enter({ ...origin, since, trials: 0, lastTrialAt: undefined, revision: undefined });
+    this.#add({ ...origin, since, trials: 0, lastTrialAt: undefined, revision: undefined });
   }
 
-  /** Takes a request out. */
+  /** Removes a request from quarantine. */
   lift(fingerprint: RequestFingerprint, reason: string): void {
     const request = this.#requests.get(fingerprint);
     if (request === undefined) {
@@ -86,26 +86,26 @@
     this.#options.left(fingerprint);
   }
 
-  /** Takes over what was written to the store. */
+  /** Applies an object that was written to the store. */
   noteWritten(object: StoredObject): void {
-    this.#takeObject(object);
+    this.#applyObject(object);
   }
 
-  /** Takes what the watch of the store's objects reads. */
+  /** Applies the lists and changes that the watch of the store's objects delivers. */
   get observer(): KindObserver {
     return {
       listed: list => {
-        this.#takeList(list);
+        this.#applyList(list);
       },
       changed: changes => {
-        this.#takeChanges(changes);
+        this.#applyChanges(changes);
       },
       confirmed: () => undefined,
     };
   }
 
-  // One that was in the store and is not in the list any more was removed meanwhile.
-  #takeList({ objects, revision }: ObjectList): void {
+  // A request that was in the store and is missing from a later list has been removed.
+  #applyList({ objects, revision }: ObjectList): void {
     const listed = new Set(objects.map(object => object.name));
     for (const request of this.all) {
       const isOlder =
@@ -118,12 +118,12 @@
       if (isOfEarlierEra(object.revision, revision)) {
         this.#noteLostFromStore(object.name);
       } else {
-        this.#takeObject(object);
+        this.#applyObject(object);
       }
     });
   }
 
-  // To be written again; see `QuarantineKeeper`.
+  // Without a revision the request is written again; see `QuarantineKeeper`.
   #noteLostFromStore(fingerprint: RequestFingerprint): void {
     const request = this.#requests.get(fingerprint);
     if (request !== undefined) {
@@ -131,22 +131,22 @@
     }
   }
 
-  #takeChanges(changes: readonly ObjectChange[]): void {
+  #applyChanges(changes: readonly ObjectChange[]): void {
     for (const { object, deleted } of changes) {
       if (!deleted) {
-        this.#takeObject(object);
+        this.#applyObject(object);
       } else if (!isLaterRevision(this.#revisionOf(object.name), object.revision)) {
         this.lift(object.name, 'removed from the store');
       }
     }
   }
 
-  // 0 while it is not in the store.
+  // Returns 0 while the request is not in the store.
   #revisionOf(fingerprint: RequestFingerprint): Revision {
     return this.#requests.get(fingerprint)?.revision ?? 0;
   }
 
-  #takeObject(object: StoredObject): void {
+  #applyObject(object: StoredObject): void {
     const request = readQuarantined(object);
     if (request === undefined) {
       const { name, revision } = object;
@@ -154,11 +154,11 @@
       return;
     }
     if (isLaterRevision(object.revision, this.#revisionOf(object.name))) {
-      this.#enter(request);
+      this.#add(request);
     }
   }
 
-  #enter(request: QuarantinedRequest): void {
+  #add(request: QuarantinedRequest): void {
     const { fingerprint, route, workspace, hosts, revision, since } = request;
     const known = this.#requests.get(fingerprint);
     this.#requests.set(fingerprint, request);
@@ -171,13 +171,13 @@
     const ended = hosts.join(',');
     log.warn('request quarantined', { fingerprint, source, route, workspace, ended, since });
     entered(request);
-    this.#keepBound();
+    this.#enforceLimit();
   }
 
-  #keepBound(): void {
+  #enforceLimit(): void {
     const { oldest } = this;
-    if (this.#requests.size > MOST_IN_MEMORY && oldest !== undefined) {
-      this.lift(oldest.fingerprint, 'oldest of too many');
+    if (this.#requests.size > MAX_IN_MEMORY && oldest !== undefined) {
+      this.lift(oldest.fingerprint, 'limit reached, oldest entry removed');
     }
   }
 }
--- a/packages/entry/src/quarantine/request-fingerprint.test.ts
+++ b/packages/entry/src/quarantine/request-fingerprint.test.ts
@@ -1,4 +1,4 @@
-/** Which requests count as the same one. */
+/** Which requests have the same fingerprint. */
 import { expect } from 'chai';
 import fc from 'fast-check';
 
@@ -14,13 +14,13 @@
 };
 
 describe('the fingerprint of a request', () => {
-  it('is the same for the same content, however it is held', () => {
+  it('is the same for equal content in another buffer or host case', () => {
     const again = { ...CONTENT, host: 'Models.Example', body: Buffer.from('question') };
     expect(fingerprintOf(again)).to.equal(fingerprintOf(CONTENT));
     expect(fingerprintOf(CONTENT)).to.match(/^[0-9a-f]{32}$/);
   });
 
-  it('tells callers, places and methods apart', () => {
+  it('differs for other workspaces, URLs, methods and bodies', () => {
     const others: readonly Partial<RequestContent>[] = [
       { workspace: 'south' },
       { workspace: undefined },
@@ -35,7 +35,7 @@
     expect(new Set(all.map(fingerprintOf)).size).to.equal(all.length);
   });
 
-  it('tells bodies of any size apart that differ in one byte', () => {
+  it('differs for bodies of any size that differ in one byte', () => {
     fc.assert(
       fc.property(
         fc.uint8Array({ minLength: 1, maxLength: 4_096 }),
--- a/packages/entry/src/quarantine/request-quarantine.ts
+++ b/packages/entry/src/quarantine/request-quarantine.ts
@@ -1,11 +1,11 @@
 /**
- * Keeps requests that crash the hosts that run them ("queries of death") from being sent on.
+ * Stops sending requests that crash the hosts that run them ("queries of death").
  *
- * Retries are bounded for each send of a caller, but a caller may send the same content again and again, at
- * any entry host: each send would end as many hosts as it has attempts, with all that runs there. So lost runs
- * are told to all entry hosts by the request's content; once three hosts have ended under one, no entry host
- * sends it any more, and runs in progress are cancelled. On a played day with such a request 40 hosts ended,
- * and with them 500 streams of others.
+ * Retries are limited for each send of a caller, but a caller may send the same content repeatedly, to any entry
+ * host. Each send would end as many hosts as it has attempts, with all runs in progress there. Lost runs are
+ * therefore reported to all entry hosts under the fingerprint of the request. Once three hosts have ended while
+ * they ran a request, no entry host sends it any more, and its runs in progress are cancelled. In a simulated day
+ * with such a request, 40 hosts ended, and 500 streams of other callers with them.
  */
 import type { HostEntry, HostIncarnation } from '../hosts/host-entry.js';
 import type { RequestContext } from '../requests/request-context.js';
@@ -25,42 +25,45 @@
 import type { RequestFingerprint } from './request-fingerprint.js';
 import type { RunReport } from './run-report.js';
 
-/** Options of the quarantine of one entry host. */
+/** What {@link RequestQuarantine} works with. */
 export type RequestQuarantineOptions = {
   readonly store: ObjectStore;
   readonly holdsLease: () => boolean;
   readonly probe: (host: HostEntry) => Promise<ProbeOutcome>;
-  /** True while the host is listed and has not announced its end. */
+  /** True while the host is registered and has not announced its shutdown. */
   readonly isExpected: (host: HostEntry) => boolean;
   /** When bytes last came from a host, in monotonic milliseconds. */
   readonly progressedAt: (hostId: string) => number;
-  /** This entry host has lost requests with a host that ended. */
+  /** Called when a host ended with requests of this entry host in progress. */
   readonly hostEnded: (host: HostEntry) => void;
-  /** This or another entry host has. */
+  /** Called when this or another entry host reported that a host ended with requests in progress. */
   readonly hostEndedAnywhere: (host: HostIncarnation) => void;
-  /** There are reports that other entry hosts have not heard of. */
+  /** Called when there are new reports to send to the peers. */
   readonly reported: () => void;
   readonly log: Log;
   readonly metrics: Metrics;
 };
 
-/** What a relay needs of the quarantine. */
+/** The part of the quarantine that a relay uses. */
 export type QuarantineGate = Pick<
   RequestQuarantine,
   'claimTrial' | 'guard' | 'holds' | 'decided' | 'runLost' | 'runCompleted'
 >;
 
-/** A request in progress. */
-type Guarded = { readonly fingerprint: () => RequestFingerprint; readonly cancel: () => void };
+/** A request in progress, which is cancelled when it is quarantined. */
+type GuardedRequest = {
+  readonly fingerprint: () => RequestFingerprint;
+  readonly cancel: () => void;
+};
 
-/** Step and greatest length of the wait for a verdict, in milliseconds; a verdict takes some 200. */
+/** Polling step and maximum wait for a verdict, in milliseconds; a verdict takes about 200 ms. */
 const DECISION_STEP_MS = 20;
-const MOST_DECISION_MS = 400;
+const MAX_DECISION_MS = 400;
 
-/** Suspects that a line about an ended host names. */
-const LOGGED_SUSPECTS = 3;
+/** Number of suspects that the log line about an ended host names. */
+const MAX_LOGGED_SUSPECTS = 3;
 
-/** The quarantine as one entry host keeps it. */
+/** The request quarantine of one entry host. */
 export class RequestQuarantine {
   readonly evidence = new CrashEvidence();
   readonly #options: RequestQuarantineOptions;
@@ -68,7 +71,7 @@
   readonly #lostRuns: LostRuns;
   readonly #trials: QuarantineTrials;
   readonly #keeper: QuarantineKeeper;
-  readonly #guarded = new Set<Guarded>();
+  readonly #guarded = new Set<GuardedRequest>();
   #evaluationTimer: NodeJS.Timeout | undefined;
 
   constructor(options: RequestQuarantineOptions) {
@@ -76,7 +79,7 @@
     const { store, holdsLease, probe, isExpected, progressedAt, log, metrics } = options;
     this.#requests = new QuarantinedRequests({
       entered: request => {
-        this.#entered(request);
+        this.#onQuarantined(request);
       },
       left: fingerprint => {
         this.take([{ kind: 'completed', fingerprint, ageMs: 0 }]);
@@ -103,7 +106,7 @@
     return this.#requests.all;
   }
 
-  /** Feeds the requests that are in the object store. */
+  /** Receives the quarantined requests that the watch of the object store delivers. */
   get observer(): KindObserver {
     return this.#requests.observer;
   }
@@ -113,23 +116,25 @@
     return this.#keeper.run();
   }
 
-  /** Ends all timers. */
+  /** Ends {@link run} and the timer. */
   stop(): void {
     clearTimeout(this.#evaluationTimer);
     this.#keeper.stop();
   }
 
-  /** True when a request must not be sent. Its fingerprint is only made while some request is in quarantine. */
+  /**
+   * True when a request must not be sent. The fingerprint is only computed while any request is in quarantine.
+   */
   holds(fingerprint: () => RequestFingerprint): boolean {
     return this.#requests.size > 0 && this.#requests.get(fingerprint()) !== undefined;
   }
 
-  /** True when a request in quarantine may run once, at one host. */
+  /** Claims a trial. Resolves to true when the quarantined request may run once, at one host. */
   claimTrial({ fingerprint }: RequestContext): Promise<boolean> {
     return this.#trials.claim(fingerprint());
   }
 
-  /** Calls `cancel` when the request comes into quarantine, until the returned function is called. */
+  /** Calls `cancel` when the request is quarantined, until the returned function is called. */
   guard({ fingerprint }: RequestContext, cancel: () => void): () => void {
     const guarded = { fingerprint, cancel };
     this.#guarded.add(guarded);
@@ -138,44 +143,47 @@
     };
   }
 
-  /** A run's connection ended before its answer did, `ranMs` after the send; its host may have ended. */
+  /**
+   * Notes that the connection of a run ended before its answer was complete, `ranMs` milliseconds after the send.
+   * The host may have ended.
+   */
   runLost(context: RequestContext, host: HostEntry, ranMs: number): void {
     const { fingerprint, route, workspace } = context;
     this.#lostRuns.note({ fingerprint: fingerprint(), route: route.name, workspace, host, ranMs });
   }
 
-  /** A run ended with an answer of its host. */
+  /** Notes that a run ended with an answer of its host. */
   runCompleted({ fingerprint }: RequestContext): void {
     if (!this.evidence.isEmpty || this.#requests.size > 0) {
-      this.#completed(fingerprint());
+      this.#noteCompletion(fingerprint());
     }
   }
 
   /**
-   * Resolves when it is known whether a request that was lost is quarantined; at once for those under which fewer
-   * hosts have ended than that takes. Sent on before, it would end one more host.
+   * Waits until it is decided whether a lost request is quarantined, since a retry before that could end one more
+   * host. Resolves at once for requests with too few crashes to be quarantined.
    */
   async decided({ fingerprint, gone }: RequestContext): Promise<void> {
-    const until = monotonicMs() + MOST_DECISION_MS;
-    while (this.#isDecisive(fingerprint()) && monotonicMs() < until && !gone.aborted) {
+    const deadline = monotonicMs() + MAX_DECISION_MS;
+    while (this.#isVerdictPending(fingerprint()) && monotonicMs() < deadline && !gone.aborted) {
       await sleep(DECISION_STEP_MS, gone);
     }
   }
 
-  /** Takes reports of this or other entry hosts. */
+  /** Adds reports of this or other entry hosts. */
   take(reports: readonly RunReport[]): void {
-    const news = reports.filter(report => this.evidence.note(report) === 'taken');
-    if (news.length === 0) {
+    const newReports = reports.filter(report => this.evidence.note(report) === 'taken');
+    if (newReports.length === 0) {
       return;
     }
-    news.forEach(report => {
-      this.#act(report);
+    newReports.forEach(report => {
+      this.#apply(report);
     });
     this.#scheduleEvaluation();
     this.#options.reported();
   }
 
-  #act(report: RunReport): void {
+  #apply(report: RunReport): void {
     const { metrics, hostEndedAnywhere } = this.#options;
     metrics.counters.count('run_reports_total', { kind: report.kind });
     if (report.kind === 'crashed') {
@@ -185,11 +193,11 @@
     }
   }
 
-  #isDecisive(fingerprint: RequestFingerprint): boolean {
+  #isVerdictPending(fingerprint: RequestFingerprint): boolean {
     const isPending = this.#lostRuns.isPending(fingerprint);
     const crashes = this.evidence.crashesOf(fingerprint) + Number(isPending);
-    const isOpen = isPending || this.evidence.isPending(fingerprint);
-    return isOpen && crashes >= LEAST_CRASHES;
+    const isUndecided = isPending || this.evidence.isPending(fingerprint);
+    return isUndecided && crashes >= LEAST_CRASHES;
   }
 
   #hostEnded({ host, reports }: EndedHost): void {
@@ -199,26 +207,26 @@
       startedAt: host.startedAt,
       group: host.membership?.group,
       requests: reports.length,
-      suspects: this.#worstOf(reports),
+      suspects: this.#formatSuspects(reports),
     });
     this.take(reports);
     hostEnded(host);
   }
 
-  // Those under which most hosts have ended, for the log.
-  #worstOf(reports: readonly RunReport[]): string {
+  // Formats the requests with the most crashes for the log.
+  #formatSuspects(reports: readonly RunReport[]): string {
     const counted = reports.map(({ fingerprint }) => ({
       fingerprint,
       crashes: this.evidence.crashesOf(fingerprint) + 1,
     }));
     return counted
       .sort((a, b) => b.crashes - a.crashes)
-      .slice(0, LOGGED_SUSPECTS)
+      .slice(0, MAX_LOGGED_SUSPECTS)
       .map(({ fingerprint, crashes }) => `${fingerprint}:${crashes}`)
       .join(',');
   }
 
-  #completed(fingerprint: RequestFingerprint): void {
+  #noteCompletion(fingerprint: RequestFingerprint): void {
     const request = this.#requests.get(fingerprint);
     if (request !== undefined) {
       void this.#trials.remove(request);
@@ -242,7 +250,7 @@
     }, dueInMs + 1);
   }
 
-  #entered({ fingerprint, hosts }: QuarantinedRequest): void {
+  #onQuarantined({ fingerprint, hosts }: QuarantinedRequest): void {
     this.evidence.quarantine(fingerprint, hosts);
     for (const guarded of [...this.#guarded]) {
       if (guarded.fingerprint() === fingerprint) {
--- a/packages/entry/src/quarantine/run-report.ts
+++ b/packages/entry/src/quarantine/run-report.ts
@@ -1,20 +1,20 @@
-/** What entry hosts tell each other of runs of a request: that a host ended under one, or completed one. */
+/** Reports about runs that entry hosts exchange: a host ended while it ran a request, or completed a run. */
 import type { HostIncarnation } from '../hosts/host-entry.js';
 import type { RequestFingerprint } from './request-fingerprint.js';
 
-/** Where a request belongs, for operators; it decides nothing. */
+/** Route and workspace of a request, for logs and listings only. */
 export type RequestOrigin = {
   readonly route: string;
   /** Undefined on public routes. */
   readonly workspace: string | undefined;
 };
 
-/** A run was in progress at a host when its process ended, without having announced it. */
+/** Reports a run that was in progress when its host's process ended without announcement. */
 export type CrashReport = RequestOrigin & {
   readonly kind: 'crashed';
   readonly fingerprint: RequestFingerprint;
   readonly host: HostIncarnation;
-  /** Fabric domain of the host, or its failure domain: hosts of one place are often lost together. */
+  /** Fabric domain of the host, or else its failure domain: hosts of one place are often lost together. */
   readonly place: string;
   /** Time from the send to the loss, in milliseconds. */
   readonly ranMs: number;
@@ -22,13 +22,13 @@
   readonly ageMs: number;
 };
 
-/** A run has ended with an answer of its host, or an operator has lifted the quarantine. */
+/** Reports that a run ended with an answer of its host, or that the request left quarantine. */
 export type CompletionReport = {
   readonly kind: 'completed';
   readonly fingerprint: RequestFingerprint;
-  /** Time since then, in milliseconds. */
+  /** Time since either event, in milliseconds. */
   readonly ageMs: number;
 };
 
-/** One of the two. */
+/** A report about a run of a request. */
 export type RunReport = CrashReport | CompletionReport;
--- a/packages/entry/src/testing/crash-days.ts
+++ b/packages/entry/src/testing/crash-days.ts
@@ -1,76 +1,87 @@
 /**
- * A model of some minutes in which hosts end, for tests of what is concluded from that: requests that run and
- * are sent again, hosts lost one by one, by racks and by requests that crash them, and links that break.
+ * Simulates a minute in which hosts end, for tests of the crash evidence. Requests run and are retried; hosts are
+ * lost one by one, by rack and by requests that crash them; links break.
  */
 import { CrashEvidence } from '../quarantine/crash-evidence.js';
 
-/** What happens. */
+/** The load and the faults of a simulation. */
 export type CrashDay = {
   /** Hosts that take requests, in racks of four. */
   readonly hosts: number;
-  /** Harmless requests a second. */
+  /** Harmless requests per second. */
   readonly requestsPerS: number;
-  /** Requests that crash each host that runs them; each is sent again as soon as the last send has ended. */
+  /** Number of requests that crash each host that runs them; each is sent again after its last send has ended. */
   readonly crashing: number;
-  /** Part of the harmless requests that are alike, as calls without a body are, 0 to 1. */
+  /** Share of the harmless requests that have the same content, as calls without a body do, 0 to 1. */
   readonly alikePart: number;
-  /** Times at which a rack goes down, over so many milliseconds. */
+  /** Rack failures: the time of each, and the period over which the hosts of the rack end, in milliseconds. */
   readonly rackLosses: readonly { readonly atMs: number; readonly overMs: number }[];
-  /** Times at which all hosts lose power at once. */
+  /** Times at which all hosts lose power at once, in milliseconds. */
   readonly powerLosses: readonly number[];
-  /** Times at which all links to a rack break while its hosts live on. */
+  /** Times at which all links to a rack break while its hosts keep running, in milliseconds. */
   readonly cuts: readonly number[];
   /** Mean time between losses of single hosts, in milliseconds. */
   readonly lossEveryMs: number;
 };
 
-/** How it went. */
+/** The outcome of a simulation. */
 export type CrashDayResult = {
-  /** Hosts that have ended under each crashing request. */
+  /** Number of hosts that each crashing request has ended. */
   readonly endedBy: readonly number[];
-  /** Harmless requests that were quarantined. */
+  /** Number of harmless requests that were quarantined. */
   readonly quarantined: number;
-  /** Whether the request that many calls have in common was quarantined. */
+  /** Whether the request with the shared content was quarantined. */
   readonly isAlikeQuarantined: boolean;
-  /** Harmless requests that were sent. */
+  /** Number of harmless requests that were sent. */
   readonly harmless: number;
 };
 
-const DAY_MS = 60_000;
-const RACK = 4;
-const BACK_AFTER_MS = 3_000;
-const CUT_MS = 2_000;
-/** Sends of one request: the route lets each run at two hosts, and its caller sends it twice. */
+/** Length of a simulation. */
+const DURATION_MS = 60_000;
+/** Hosts in a rack. */
+const RACK_SIZE = 4;
+/** Time from the end of a host until it runs again. */
+const RESTART_MS = 3_000;
+/** Time for which broken links last. */
+const LINK_LOSS_MS = 2_000;
+/** The caller sends a request twice, and the route lets each send run at two hosts. */
 const HARMLESS_SENDS = 2;
 const RUNS_PER_SEND = 2;
+/** Sends of one crashing request. */
 const CRASHING_SENDS = 60;
-/** Time from the loss of a run until all entry hosts have the report, in milliseconds. */
-const MOST_REPORT_MS = 100;
+/** Maximum time from the loss of a run until all entry hosts have the report. */
+const MAX_REPORT_DELAY_MS = 100;
 
-type Run = { readonly request: ModelRequest; readonly sendRuns: number; readonly sentAt: number };
-type ModelRequest = {
+/** One run of a request at a host; `sendRuns` counts the runs of the same send up to this one. */
+type SimulatedRun = {
+  readonly request: SimulatedRequest;
+  readonly sendRuns: number;
+  readonly sentAt: number;
+};
+/** A simulated request; `ended` counts the hosts that it has ended. */
+type SimulatedRequest = {
   readonly fingerprint: string;
   readonly crashes: boolean;
   sendsLeft: number;
   ended: number;
   isQuarantined: boolean;
 };
-type ModelHost = { incarnation: number; upAt: number; readonly runs: Set<Run> };
-type Event = { readonly at: number; readonly call: () => void };
+type SimulatedHost = { incarnation: number; upAt: number; readonly runs: Set<SimulatedRun> };
+type SimulatedEvent = { readonly at: number; readonly call: () => void };
 
-/** Plays a day; `random` gives numbers in [0, 1). */
+/** Runs a simulation; `random` returns numbers in [0, 1). */
 export function playCrashDay(day: CrashDay, random: () => number): CrashDayResult {
-  return new CrashDayModel(day, random).play();
+  return new CrashSimulation(day, random).play();
 }
 
-class CrashDayModel {
+class CrashSimulation {
   readonly #day: CrashDay;
   readonly #random: () => number;
-  readonly #hosts: readonly ModelHost[];
-  readonly #events: Event[] = [];
-  readonly #requests: ModelRequest[] = [];
-  readonly #alike: ModelRequest;
-  readonly #byFingerprint = new Map<string, ModelRequest>();
+  readonly #hosts: readonly SimulatedHost[];
+  readonly #events: SimulatedEvent[] = [];
+  readonly #requests: SimulatedRequest[] = [];
+  readonly #sharedRequest: SimulatedRequest;
+  readonly #byFingerprint = new Map<string, SimulatedRequest>();
   readonly #evidence = new CrashEvidence(() => this.#now);
   #now = 0;
 
@@ -82,7 +93,7 @@
       upAt: 0,
       runs: new Set(),
     }));
-    this.#alike = this.#newRequest(false, Infinity);
+    this.#sharedRequest = this.#newRequest(false, Infinity);
   }
 
   play(): CrashDayResult {
@@ -93,21 +104,21 @@
     return {
       endedBy: this.#requests.filter(({ crashes }) => crashes).map(({ ended }) => ended),
       quarantined: harmless.filter(({ isQuarantined }) => isQuarantined).length,
-      isAlikeQuarantined: this.#alike.isQuarantined,
+      isAlikeQuarantined: this.#sharedRequest.isQuarantined,
       harmless: harmless.length,
     };
   }
 
   #scheduleRequests(): void {
     const { requestsPerS, crashing } = this.#day;
-    for (let at = 0; at < DAY_MS; at += 1_000 / requestsPerS) {
-      this.#at(at, () => {
+    for (let at = 0; at < DURATION_MS; at += 1_000 / requestsPerS) {
+      this.#schedule(at, () => {
         this.#sendHarmless();
       });
     }
     for (let count = 0; count < crashing; count++) {
       const request = this.#newRequest(true, CRASHING_SENDS);
-      this.#at(this.#between(1_000, 20_000), () => {
+      this.#schedule(this.#between(1_000, 20_000), () => {
         this.#send(request);
       });
     }
@@ -116,30 +127,30 @@
   #scheduleLosses(): void {
     const { rackLosses, powerLosses, cuts, lossEveryMs } = this.#day;
     rackLosses.forEach(({ atMs, overMs }) => {
-      this.#at(atMs, () => {
+      this.#schedule(atMs, () => {
         this.#rack().forEach(host => {
-          this.#at(this.#now + this.#random() * overMs, () => {
+          this.#schedule(this.#now + this.#random() * overMs, () => {
             this.#end(host);
           });
         });
       });
     });
     powerLosses.forEach(at => {
-      this.#at(at, () => {
+      this.#schedule(at, () => {
         this.#hosts.forEach(host => {
           this.#end(host);
         });
       });
     });
     cuts.forEach(at => {
-      this.#at(at, () => {
+      this.#schedule(at, () => {
         this.#rack().forEach(host => {
-          this.#cut(host);
+          this.#breakLinks(host);
         });
       });
     });
-    for (let at = lossEveryMs; at < DAY_MS; at += 2 * this.#random() * lossEveryMs) {
-      this.#at(at, () => {
+    for (let at = lossEveryMs; at < DURATION_MS; at += 2 * this.#random() * lossEveryMs) {
+      this.#schedule(at, () => {
         this.#end(this.#pick(this.#hosts));
       });
     }
@@ -156,12 +167,12 @@
     }
   }
 
-  #at(at: number, call: () => void): void {
+  #schedule(at: number, call: () => void): void {
     const index = this.#events.findIndex(event => event.at > at);
     this.#events.splice(index < 0 ? this.#events.length : index, 0, { at, call });
   }
 
-  #newRequest(crashes: boolean, sendsLeft: number): ModelRequest {
+  #newRequest(crashes: boolean, sendsLeft: number): SimulatedRequest {
     const fingerprint = `f${this.#requests.length}`;
     const request = { fingerprint, crashes, sendsLeft, ended: 0, isQuarantined: false };
     this.#requests.push(request);
@@ -171,17 +182,17 @@
 
   #sendHarmless(): void {
     const isAlike = this.#random() < this.#day.alikePart;
-    this.#send(isAlike ? this.#alike : this.#newRequest(false, HARMLESS_SENDS));
+    this.#send(isAlike ? this.#sharedRequest : this.#newRequest(false, HARMLESS_SENDS));
   }
 
-  #send(request: ModelRequest): void {
+  #send(request: SimulatedRequest): void {
     if (request.sendsLeft > 0 && !request.isQuarantined) {
       request.sendsLeft -= 1;
       this.#run({ request, sendRuns: 1, sentAt: this.#now });
     }
   }
 
-  #run(run: Run): void {
+  #run(run: SimulatedRun): void {
     const up = this.#hosts.filter(host => host.upAt <= this.#now);
     if (up.length === 0) {
       return;
@@ -189,14 +200,14 @@
     const host = this.#pick(up);
     host.runs.add(run);
     const lastsMs = run.request.crashes ? this.#between(40, 270) : this.#between(200, 1_500);
-    this.#at(this.#now + lastsMs, () => {
+    this.#schedule(this.#now + lastsMs, () => {
       if (host.runs.has(run)) {
         this.#endRun(host, run);
       }
     });
   }
 
-  #endRun(host: ModelHost, run: Run): void {
+  #endRun(host: SimulatedHost, run: SimulatedRun): void {
     const { request } = run;
     if (request.crashes) {
       request.ended += 1;
@@ -209,45 +220,45 @@
     }
   }
 
-  #end(host: ModelHost): void {
+  #end(host: SimulatedHost): void {
     if (host.upAt > this.#now) {
       return;
     }
     const incarnation = `${this.#hosts.indexOf(host)}@${host.incarnation}`;
     host.incarnation += 1;
-    host.upAt = this.#now + BACK_AFTER_MS;
+    host.upAt = this.#now + RESTART_MS;
     this.#loseRuns(host, incarnation);
   }
 
-  // Its runs are lost and no new connection can be made: an entry host can not tell this from the host's end.
-  #cut(host: ModelHost): void {
-    host.upAt = Math.max(host.upAt, this.#now + CUT_MS);
+  // Runs are lost and new connections fail: to an entry host this looks the same as the end of the host.
+  #breakLinks(host: SimulatedHost): void {
+    host.upAt = Math.max(host.upAt, this.#now + LINK_LOSS_MS);
     this.#loseRuns(host, `${this.#hosts.indexOf(host)}@${host.incarnation}`);
   }
 
-  #loseRuns(host: ModelHost, incarnation: string): void {
-    const place = `rack-${Math.floor(this.#hosts.indexOf(host) / RACK)}`;
+  #loseRuns(host: SimulatedHost, incarnation: string): void {
+    const place = `rack-${Math.floor(this.#hosts.indexOf(host) / RACK_SIZE)}`;
     for (const run of host.runs) {
       const lostAt = this.#now;
-      this.#at(lostAt + this.#random() * MOST_REPORT_MS, () => {
+      this.#schedule(lostAt + this.#random() * MAX_REPORT_DELAY_MS, () => {
         this.#report(run, incarnation, place, lostAt);
       });
-      this.#sendOn(run);
+      this.#retry(run);
     }
     host.runs.clear();
   }
 
-  #sendOn({ request, sendRuns }: Run): void {
+  #retry({ request, sendRuns }: SimulatedRun): void {
     if (sendRuns < RUNS_PER_SEND && !request.isQuarantined) {
       this.#run({ request, sendRuns: sendRuns + 1, sentAt: this.#now });
       return;
     }
-    this.#at(this.#now + this.#between(50, 500), () => {
+    this.#schedule(this.#now + this.#between(50, 500), () => {
       this.#send(request);
     });
   }
 
-  #report(run: Run, host: string, place: string, lostAt: number): void {
+  #report(run: SimulatedRun, host: string, place: string, lostAt: number): void {
     const { fingerprint } = run.request;
     const times = { ranMs: lostAt - run.sentAt, ageMs: this.#now - lostAt };
     const origin = { route: 'r', workspace: 'w' };
@@ -259,7 +270,7 @@
       ...times,
       ...origin,
     });
-    this.#at(this.#now + (this.#evidence.evaluateInMs() ?? 0) + 1, () => {
+    this.#schedule(this.#now + (this.#evidence.evaluateInMs() ?? 0) + 1, () => {
       this.#evidence.evaluate().forEach(verdict => {
         const quarantined = this.#byFingerprint.get(verdict.fingerprint);
         if (quarantined !== undefined) {
@@ -269,13 +280,13 @@
     });
   }
 
-  #rack(): readonly ModelHost[] {
-    const first = Math.floor(this.#random() * (this.#hosts.length / RACK)) * RACK;
-    return this.#hosts.slice(first, first + RACK);
+  #rack(): readonly SimulatedHost[] {
+    const first = Math.floor(this.#random() * (this.#hosts.length / RACK_SIZE)) * RACK_SIZE;
+    return this.#hosts.slice(first, first + RACK_SIZE);
   }
 
-  #between(least: number, most: number): number {
-    return least + this.#random() * (most - least);
+  #between(min: number, max: number): number {
+    return min + this.#random() * (max - min);
   }
 
   #pick<T>(list: readonly T[]): T {
