--- a/packages/controller/src/admin/app.ts
+++ b/packages/controller/src/admin/app.ts
@@ -1,4 +1,4 @@
-/** Administration API of a controller: configuration, status, explanations, drains, evacuations. */
+/** The administration API of a controller: configuration, status, order history, burn report, drains, evacuations. */
 import type { ConfigurationFile, ConfigurationHead, ConfigurationRevision } from '@hingescale/core';
 import { ProblemError } from '@hingescale/core';
 import type { ChangeError, PlatformClient } from '@hingescale/object-store';
@@ -16,18 +16,24 @@
 import { authenticateOperator } from './operator-auth.js';
 import type { ControllerStatus } from './status.js';
 
-/** What the administration API needs of the controller. */
+/** Settings of the administration API and the functions of the controller that it calls. */
 export type AdminOptions = {
+  /** Operators as `name:sha256` entries, where `sha256` is the hash of the operator's key. */
   readonly operators: readonly string[];
   readonly client: PlatformClient;
   readonly log: Log;
   readonly metrics: Metrics;
+  /** True once a configuration is in force. */
   readonly ready: () => boolean;
   readonly status: () => ControllerStatus;
+  /** Returns the orders that concern a group or host; undefined when the name is unknown. */
   readonly explain: (name: string) => ExplainedOrder[] | undefined;
+  /** Collects the burn report of the failure domain. */
   readonly burn: () => Promise<BurnReport>;
+  /** Cordons a host or removes its cordon. */
   readonly setCordon: (host: string, cordoned: boolean) => Promise<void>;
   readonly evacuations: EvacuationOptions;
+  /** Hands an accepted configuration revision to the controller, which applies it. */
   readonly offer: (revision: ConfigurationRevision) => void;
 };
 
@@ -39,7 +45,7 @@
   files: z.array(z.strictObject({ name: z.string().min(1), text: z.string() })).min(1),
 });
 
-/** Builds the administration API. */
+/** Creates the Express application that serves the administration API. */
 export function adminApp(options: AdminOptions): Express {
   const app = createApp();
   addProbes(app, options);
@@ -52,31 +58,31 @@
     response.json(options.status());
   });
   app.get('/v1/configuration', async (_request, response) => {
-    response.json(await presentConfiguration(options));
+    response.json(await readStoredConfiguration(options));
   });
   app.post('/v1/configuration', async (request, response) => {
     await changeConfiguration(options, request, response);
   });
   app.get('/v1/explain/:name', (request, response) => {
-    response.json(explanation(options, request.params.name));
+    response.json(explainOrders(options, request.params.name));
   });
   app.get('/v1/report/burn', async (_request, response) => {
     response.json(await options.burn());
   });
   app.put('/v1/hosts/:id/drain', async (request, response) => {
-    await cordon(options, request.params.id, true, response);
+    await changeCordon(options, request.params.id, true, response);
   });
   app.delete('/v1/hosts/:id/drain', async (request, response) => {
-    await cordon(options, request.params.id, false, response);
+    await changeCordon(options, request.params.id, false, response);
   });
   app.get('/v1/evacuations', (_request, response) => {
     response.json({ evacuations: listEvacuations(options.evacuations) });
   });
   app.put('/v1/evacuations/:domain', async (request, response) => {
-    await evacuate(options, request.params.domain, true, response);
+    await changeEvacuation(options, request.params.domain, true, response);
   });
   app.delete('/v1/evacuations/:domain', async (request, response) => {
-    await evacuate(options, request.params.domain, false, response);
+    await changeEvacuation(options, request.params.domain, false, response);
   });
   app.all('/v1/configuration', methodNotAllowed('GET, POST'));
   finishApp(app, error => {
@@ -100,7 +106,8 @@
   });
 }
 
-async function presentConfiguration(options: AdminOptions): Promise<object> {
+// Returns the stored configuration, or an empty one with revision 0 when none has been stored yet.
+async function readStoredConfiguration(options: AdminOptions): Promise<object> {
   const revision = await readRevision(options.client);
   if (revision.isOk) {
     return revision.value;
@@ -108,7 +115,7 @@
   if (revision.error.reason === 'missing') {
     return { head: { revision: 0, parts: [], history: [] }, files: [] };
   }
-  throw unavailable(revision.error.message);
+  throw platformUnavailable(revision.error.message);
 }
 
 async function changeConfiguration(
@@ -131,26 +138,28 @@
     base,
   });
   if (accepted.isErr) {
-    answerChangeError(accepted.error, response);
+    sendChangeError(accepted.error, response);
     return;
   }
   options.offer(accepted.value);
   const { revision } = accepted.value.head;
   options.log.info('configuration accepted', { revision, operator });
-  await audit(options, operator, `configuration revision ${revision}`, revision);
+  await writeAuditRecord(options, operator, `configuration revision ${revision}`, revision);
   response.status(201).json(accepted.value.head);
 }
 
-function answerChangeError(error: ChangeError, response: Response): void {
+function sendChangeError(error: ChangeError, response: Response): void {
   switch (error.reason) {
     case 'findings':
       response.status(422).json({ code: 'invalid-configuration', findings: error.findings });
       return;
     case 'conflict':
-      response.status(409).json({ code: 'revision-conflict', current: describe(error.current) });
+      response
+        .status(409)
+        .json({ code: 'revision-conflict', current: summarizeHead(error.current) });
       return;
     case 'unavailable':
-      throw unavailable(error.detail);
+      throw platformUnavailable(error.detail);
     case 'unknown':
       throw new ProblemError({
         status: 504,
@@ -161,21 +170,21 @@
   }
 }
 
-function describe(head: ConfigurationHead): object {
+function summarizeHead(head: ConfigurationHead): object {
   const { revision, operator, note, acceptedAt } = head;
   return { revision, operator, note, acceptedAt };
 }
 
-function explanation(options: AdminOptions, name: string): object {
+function explainOrders(options: AdminOptions, name: string): object {
   const orders = options.explain(name);
   if (orders === undefined) {
-    const detail = `no group or host ${name} is known here`;
+    const detail = `no group or host named ${name} is known to this controller`;
     throw new ProblemError({ status: 404, code: 'unknown-object', detail });
   }
   return { name, orders };
 }
 
-async function cordon(
+async function changeCordon(
   options: AdminOptions,
   host: string,
   cordoned: boolean,
@@ -185,11 +194,11 @@
   await options.setCordon(host, cordoned);
   const action = `${cordoned ? 'drain' : 'undrain'} host ${host}`;
   options.log.info(action, { host, operator });
-  await audit(options, operator, action);
+  await writeAuditRecord(options, operator, action);
   response.json({ host, draining: cordoned });
 }
 
-async function evacuate(
+async function changeEvacuation(
   options: AdminOptions,
   failureDomain: string,
   evacuated: boolean,
@@ -199,12 +208,13 @@
   const order = await orderEvacuation(options.evacuations, failureDomain, evacuated, operator);
   const action = evacuated ? 'evacuate failure domain' : 'end evacuation of failure domain';
   options.log.info(action, { failureDomain, operator });
-  await audit(options, operator, `${action} ${failureDomain}`);
+  await writeAuditRecord(options, operator, `${action} ${failureDomain}`);
   response.json(order);
 }
 
-// The change itself is done by now; an audit record that can not be written is counted and logged.
-async function audit(
+// The change has already been made, so a failed write of its audit record does not fail the request: the loss is
+// counted and logged.
+async function writeAuditRecord(
   options: AdminOptions,
   operator: string,
   action: string,
@@ -214,11 +224,11 @@
   const written = await options.client.create('audit', newUuid(), record);
   if (written.isErr) {
     options.metrics.count('audit_lost_total');
-    options.log.error('audit record lost', { operator, action });
+    options.log.error('audit record could not be written', { operator, action });
   }
 }
 
-function unavailable(detail: string): ProblemError {
+function platformUnavailable(detail: string): ProblemError {
   const retryAfter = 1;
   return new ProblemError({
     status: 503,
--- a/packages/controller/src/admin/evacuations.ts
+++ b/packages/controller/src/admin/evacuations.ts
@@ -1,27 +1,27 @@
-/** Evacuations on the administration API: orders are objects in the platform, which all controllers watch. */
+/** Evacuation requests of the administration API. An order is an object in the platform that all controllers watch. */
 import type { Evacuation, FailureDomainId } from '@hingescale/core';
 import { ProblemError } from '@hingescale/core';
 import type { PlatformClient, PlatformError, StoredObject } from '@hingescale/object-store';
 import { writeEvacuation } from '@hingescale/object-store';
 
-/** What the evacuations need of the controller. */
+/** The parts of the controller that handle evacuations. */
 export type EvacuationOptions = {
   readonly client: PlatformClient;
   /** Failure domains of the configuration in force. */
   readonly failureDomains: () => readonly FailureDomainId[];
-  /** The orders that this controller knows; undefined before it has read them. */
+  /** All evacuation orders, ended ones included; undefined until this controller has read them. */
   readonly orders: () => readonly Evacuation[] | undefined;
-  /** Takes over an order that was written here, so that gateways get it with their next poll. */
+  /** Applies an order that this controller has written, so that gateways receive it with their next poll. */
   readonly take: (order: StoredObject<Evacuation>) => Promise<void>;
 };
 
 const RETRY_AFTER_S = 1;
 
-/** Failure domains that are evacuated now. */
+/** Lists the orders in force: one per failure domain that is evacuated now. */
 export function listEvacuations({ orders }: EvacuationOptions): readonly Evacuation[] {
   const known = orders();
   if (known === undefined) {
-    throw unavailable('this controller has not read the evacuations yet');
+    throw platformUnavailable('this controller has not read the evacuations yet');
   }
   return known.filter(({ evacuated }) => evacuated);
 }
@@ -40,34 +40,34 @@
   const at = new Date().toISOString();
   const written = await writeEvacuation(client, { failureDomain, evacuated, operator, at });
   if (written.isErr) {
-    throw problemOf(written.error);
+    throw toProblem(written.error);
   }
   await take(written.value);
   return written.value.value;
 }
 
-function problemOf(error: PlatformError): ProblemError {
+function toProblem(error: PlatformError): ProblemError {
   switch (error.reason) {
     case 'conflict':
       return new ProblemError({
         status: 409,
         code: 'revision-conflict',
-        detail: 'another order about this failure domain came first',
+        detail: 'another order for this failure domain was written at the same time',
         retryAfter: RETRY_AFTER_S,
       });
     case 'unknown':
       return new ProblemError({
         status: 504,
         code: 'write-outcome-unknown',
-        detail: `${error.message}; the order may be in force: ask for the list`,
+        detail: `${error.message}; the order may be in force: list the evacuations to check`,
         execution: 'unknown',
       });
     default:
-      return unavailable(error.message);
+      return platformUnavailable(error.message);
   }
 }
 
-function unavailable(detail: string): ProblemError {
+function platformUnavailable(detail: string): ProblemError {
   const retryAfter = RETRY_AFTER_S;
   return new ProblemError({ status: 503, code: 'platform-unavailable', detail, retryAfter });
 }
--- a/packages/controller/src/views/domain-task.ts
+++ b/packages/controller/src/views/domain-task.ts
@@ -1,4 +1,4 @@
-/** Keeps the view of the own failure domain in step with ledgers, hosts and configuration. */
+/** Rebuilds the view of this controller's failure domain when ledgers, hosts or configuration change. */
 import type { DomainView, Ledger } from '@hingescale/core';
 import { buildView } from '@hingescale/core';
 import type { ConfigurationHolder, HostWatcher, ObjectWatcher } from '@hingescale/object-store';
@@ -15,14 +15,14 @@
   readonly ledgers: ObjectWatcher<Ledger>;
   readonly prober: MemberProber;
   readonly collector: LoadCollector;
-  /** True while this process may vouch for the failure domain. */
+  /** True while this controller is the last known lease holder; a lapsed lease does not end it. */
   readonly vouches: () => boolean;
 };
 
-/** What the domain task tells. */
+/** Messages of the domain task: `changed` carries a view whose version differs from the previous one. */
 export type DomainMessages = { changed: DomainView };
 
-/** Owns the view of one failure domain. */
+/** Maintains the view of one failure domain and the targets of the prober and the load collector. */
 export class DomainTask extends Task<DomainMessages> {
   readonly #options: DomainTaskOptions;
   #view: DomainView | undefined;
@@ -32,12 +32,12 @@
     this.#options = options;
   }
 
-  /** The view, while this process vouches for it. */
+  /** The latest view; undefined while this controller is not the last known lease holder. */
   get view(): DomainView | undefined {
     return this.#options.vouches() ? this.#view : undefined;
   }
 
-  /** Starts following its sources. */
+  /** Subscribes to changes of the configuration, the hosts and the ledgers. */
   start(): void {
     const { holder, hosts, ledgers } = this.#options;
     const rebuild = (): void => {
@@ -48,29 +48,32 @@
     ledgers.messages.on('changed', rebuild);
   }
 
-  /** Builds the view anew and points the prober and the load collector at its hosts. */
+  /**
+   * Rebuilds the view and passes its hosts to the prober and its heads to the load collector. Does nothing before the
+   * configuration, the hosts and the ledgers have been read.
+   */
   rebuild(): void {
     const { failureDomain, holder, hosts, ledgers, prober, collector } = this.#options;
     const configuration = holder.configuration;
     if (configuration === undefined || !hosts.synced || !ledgers.synced) {
       return;
     }
-    const own = hosts.hosts.filter(host => host.failureDomain === failureDomain);
-    const stored = [...ledgers.objects.values()].map(object => object.value);
-    const view = buildView(failureDomain, configuration, own, stored);
-    const probing = this.#options.vouches();
-    // Runners of plain services are on the list too; they do not speak the engines' protocol.
-    const engines = new Set([...configuration.models.values()].map(model => model.upstream));
-    const targets = own
-      .filter(host => engines.has(host.upstream))
+    const ownHosts = hosts.hosts.filter(host => host.failureDomain === failureDomain);
+    const storedLedgers = [...ledgers.objects.values()].map(object => object.value);
+    const view = buildView(failureDomain, configuration, ownHosts, storedLedgers);
+    const isProber = this.#options.vouches();
+    // The host list also contains hosts of plain services, which do not implement the protocol of model engines.
+    const modelUpstreams = new Set([...configuration.models.values()].map(model => model.upstream));
+    const targets = ownHosts
+      .filter(host => modelUpstreams.has(host.upstream))
       .map(host => ({ host: host.id, address: host.address }));
-    prober.retarget(probing ? targets : []);
+    prober.retarget(isProber ? targets : []);
     const ready = view.groups.filter(entry => entry.group.state === 'ready');
-    const leaders = ready.map(({ group, members }) => ({
+    const heads = ready.map(({ group, members }) => ({
       group,
       address: members[0].address,
     }));
-    collector.retarget(probing ? leaders : []);
+    collector.retarget(isProber ? heads : []);
     const changed = view.version !== this.#view?.version;
     this.#view = view;
     if (changed) {
--- a/packages/controller/src/views/key-owner-task.ts
+++ b/packages/controller/src/views/key-owner-task.ts
@@ -1,4 +1,4 @@
-/** Keeps the key owners of the failure domain in step with the gateways that are heard. */
+/** Updates the key owners of the failure domain when the set of gateways that poll the lease holder changes. */
 import type { KeyOwner } from '@hingescale/core';
 import { changeKeyOwners } from '@hingescale/core';
 import { sleep, Task } from '@hingescale/runtime';
@@ -10,13 +10,15 @@
 export type KeyOwnerTaskOptions = {
   readonly lease: LeaseTask;
   readonly roster: GatewayRoster;
+  /** Time between two checks of the owners, in milliseconds. */
   readonly periodMs: number;
+  /** Time for which idempotency keys are remembered, in milliseconds. */
   readonly keyMemoryMs: number;
-  /** After a start or a change of holder, gateways get this long to be heard. */
+  /** Time that gateways have for their first poll after a start or a change of lease holder, in milliseconds. */
   readonly settleMs: number;
 };
 
-/** Changes the key table when gateways come and go; runs while the lease is held. */
+/** Changes the key owner table when gateways join or leave; acts only while this controller holds the lease. */
 export class KeyOwnerTask extends Task<Record<never, never>> {
   readonly #options: KeyOwnerTaskOptions;
 
@@ -25,7 +27,7 @@
     this.#options = options;
   }
 
-  /** Starts watching the gateways. */
+  /** Starts the periodic check of the owners. */
   start(): void {
     const { lease, settleMs, periodMs } = this.#options;
     this.run(async () => {
@@ -44,21 +46,21 @@
 
   #update(): void {
     const { lease, roster, keyMemoryMs } = this.#options;
-    const wanted = roster.owners();
-    const present = lease.lease?.keys.owners ?? [];
-    // Without any gateway there is nobody to own keys; the table stays for their return.
-    if (wanted.length > 0 && !sameOwners(wanted, present)) {
+    const eligible = roster.owners();
+    const current = lease.lease?.keys.owners ?? [];
+    // While no gateway can own keys, the table stays as it is until gateways poll again.
+    if (eligible.length > 0 && !sameOwners(eligible, current)) {
       lease.changeKeys(table =>
-        sameOwners(wanted, table.owners)
+        sameOwners(eligible, table.owners)
           ? table
-          : changeKeyOwners(table, wanted, Date.now(), keyMemoryMs),
+          : changeKeyOwners(table, eligible, Date.now(), keyMemoryMs),
       );
     }
   }
 }
 
 function sameOwners(a: readonly KeyOwner[], b: readonly KeyOwner[]): boolean {
-  const names = (owners: readonly KeyOwner[]): string =>
+  const instances = (owners: readonly KeyOwner[]): string =>
     owners.map(owner => owner.instance).join(',');
-  return names(a) === names(b);
+  return instances(a) === instances(b);
 }
--- a/packages/controller/src/views/load-collector.ts
+++ b/packages/controller/src/views/load-collector.ts
@@ -1,28 +1,33 @@
-/** Collects the load reports of group leaders, so that not every gateway has to ask every engine. */
+/** Collects load reports and cache events of group heads, so that not every gateway has to ask every engine. */
 import type { CacheEvent, Group } from '@hingescale/core';
 import type { GroupCacheEvents, LoadReport } from '@hingescale/link';
 import { monotonicMs, sleep, Task } from '@hingescale/runtime';
 import type { HostClient } from '@hingescale/upstream';
 
-/** A leader to ask. */
+/** A group and the address of its head. */
 export type LoadTarget = { readonly group: Group; readonly address: string };
 
-type Collected = {
+/** A load report of a head; `measuredAt` is in monotonic milliseconds. */
+type CollectedLoad = {
   readonly running: number;
   readonly queued: number;
   readonly measuredAt: number;
 };
 
-/** Cache events of a leader; numbers count from the first event that was collected. */
+/**
+ * Cache events of a head, renumbered from the first one collected: `first` is the number of `events[0]`, `engineNext`
+ * the engine's own number of the next event to fetch.
+ */
 type CollectedEvents = { engineNext: number; first: number; events: CacheEvent[] };
 
-const KEPT_EVENTS = 4_000;
+/** Number of cache events kept per group; older ones are dropped. */
+const MAX_EVENTS_PER_GROUP = 4_000;
 
-/** Asks leaders on a fixed period. */
+/** Fetches load reports and cache events from all heads at a fixed period. */
 export class LoadCollector extends Task<Record<never, never>> {
   readonly #client: HostClient;
   readonly #periodMs: number;
-  readonly #reports = new Map<string, Collected>();
+  readonly #loads = new Map<string, CollectedLoad>();
   readonly #events = new Map<string, CollectedEvents>();
   #targets: readonly LoadTarget[] = [];
 
@@ -32,22 +37,22 @@
     this.#periodMs = periodMs;
   }
 
-  /** Replaces the leaders to ask. */
+  /** Replaces the heads to fetch from; drops the data of groups that are not among them. */
   retarget(targets: readonly LoadTarget[]): void {
     this.#targets = targets;
     const wanted = new Set(targets.map(target => target.group.id));
-    for (const id of this.#reports.keys()) {
+    for (const id of this.#loads.keys()) {
       if (!wanted.has(id)) {
-        this.#reports.delete(id);
+        this.#loads.delete(id);
         this.#events.delete(id);
       }
     }
   }
 
-  /** The reports with their ages. */
+  /** The last load report of each group with its current age. */
   reports(): LoadReport[] {
     const now = monotonicMs();
-    return [...this.#reports].map(([group, { running, queued, measuredAt }]) => ({
+    return [...this.#loads].map(([group, { running, queued, measuredAt }]) => ({
       group,
       running,
       queued,
@@ -55,38 +60,41 @@
     }));
   }
 
-  /** Cache events from the numbers that an asker names, by group. */
+  /** Cache events by group, from the numbers in `from` on; groups without newer events are left out. */
   cacheEvents(from: Readonly<Record<string, number>>): GroupCacheEvents[] {
     return [...this.#events].flatMap(([group, { first, events }]) => {
       const next = first + events.length;
-      const fresh = events.slice(Math.max(0, (from[group] ?? 0) - first));
-      if (fresh.length === 0) {
+      const newEvents = events.slice(Math.max(0, (from[group] ?? 0) - first));
+      if (newEvents.length === 0) {
         return [];
       }
-      const hashes = (kind: CacheEvent['kind']): string[] =>
-        fresh.filter(event => event.kind === kind).map(event => event.prefix);
-      return [{ group, next, stored: hashes('stored'), evicted: hashes('evicted') }];
+      const prefixesOf = (kind: CacheEvent['kind']): string[] =>
+        newEvents.filter(event => event.kind === kind).map(event => event.prefix);
+      return [{ group, next, stored: prefixesOf('stored'), evicted: prefixesOf('evicted') }];
     });
   }
 
-  /** Starts asking. */
+  /** Starts fetching. */
   start(): void {
     this.run(async () => {
       while (!this.stopped) {
         await Promise.all(
-          this.#targets.flatMap(target => [this.#ask(target), this.#askCache(target)]),
+          this.#targets.flatMap(target => [
+            this.#fetchLoad(target),
+            this.#fetchCacheEvents(target),
+          ]),
         );
         await sleep(this.#periodMs, this.signal);
       }
     });
   }
 
-  async #ask(target: LoadTarget): Promise<void> {
+  async #fetchLoad(target: LoadTarget): Promise<void> {
     const sentAt = monotonicMs();
     const load = await this.#client.load(target.address);
     if (load.isOk) {
       const { running, queued, ageMs } = load.value;
-      this.#reports.set(target.group.id, {
+      this.#loads.set(target.group.id, {
         running,
         queued,
         measuredAt: sentAt - ageMs,
@@ -94,20 +102,20 @@
     }
   }
 
-  async #askCache(target: LoadTarget): Promise<void> {
+  async #fetchCacheEvents(target: LoadTarget): Promise<void> {
     const { id } = target.group;
-    const known = this.#events.get(id) ?? { engineNext: 0, first: 0, events: [] };
-    this.#events.set(id, known);
-    const answer = await this.#client.cacheEvents(target.address, known.engineNext);
+    const collected = this.#events.get(id) ?? { engineNext: 0, first: 0, events: [] };
+    this.#events.set(id, collected);
+    const answer = await this.#client.cacheEvents(target.address, collected.engineNext);
     if (answer.isErr) {
       return;
     }
-    known.engineNext = answer.value.next;
-    known.events.push(...answer.value.events);
-    const excess = known.events.length - KEPT_EVENTS;
+    collected.engineNext = answer.value.next;
+    collected.events.push(...answer.value.events);
+    const excess = collected.events.length - MAX_EVENTS_PER_GROUP;
     if (excess > 0) {
-      known.events.splice(0, excess);
-      known.first += excess;
+      collected.events.splice(0, excess);
+      collected.first += excess;
     }
   }
 }
--- a/packages/controller/src/views/peer-task.ts
+++ b/packages/controller/src/views/peer-task.ts
@@ -1,4 +1,7 @@
-/** Polls the other controllers: own candidates for the lease holder, remote ones for their views. */
+/**
+ * Polls the other controllers: those of this failure domain to learn which one holds the lease, those of other failure
+ * domains for their views.
+ */
 import type { LinkPool, PollReply, PollRequest } from '@hingescale/link';
 import { LINK_REQUESTS } from '@hingescale/link';
 import type { ConfigurationHolder } from '@hingescale/object-store';
@@ -6,66 +9,79 @@
 
 import type { RemoteDomains } from './remote-domains.js';
 
-/** Options of the peer task. */
+/** Options of the task that polls the other controllers. */
 export type PeerTaskOptions = {
   readonly instance: string;
   readonly failureDomain: string;
-  /** Own link address, not to be polled. */
+  /** Link address of this controller, which is not polled. */
   readonly ownAddress: () => string;
+  /** Link addresses of the controllers of this failure domain. */
   readonly localControllers: readonly string[];
+  /** Link addresses of the controllers of other failure domains. */
   readonly remoteControllers: readonly string[];
+  /** Time between two polls of a controller, in milliseconds. */
   readonly periodMs: number;
   readonly links: LinkPool;
   readonly holder: ConfigurationHolder;
   readonly remotes: RemoteDomains;
 };
 
-type Peer = {
+/** Timeout of a poll, as a multiple of the poll period. */
+const POLL_TIMEOUT_PERIODS = 4;
+
+/** Last known state of a polled controller. */
+type PolledController = {
+  /** The last answer. */
   reply: PollReply | undefined;
-  heardAt: number;
+  /** When the poll was sent that it answered last, in monotonic milliseconds. */
+  answeredPollSentAt: number;
+  /** True when its last answer asked for the configuration of this controller. */
   sendConfiguration: boolean;
 };
 
-/** Keeps the last answer of each peer. */
+/** Polls the other controllers and holds the last answer of each. */
 export class PeerTask extends Task<Record<never, never>> {
   readonly #options: PeerTaskOptions;
-  readonly #peers = new Map<string, Peer>();
+  readonly #controllers = new Map<string, PolledController>();
 
   constructor(options: PeerTaskOptions) {
     super();
     this.#options = options;
   }
 
-  /** Starts polling. */
+  /** Starts polling each controller periodically. */
   start(): void {
     const { localControllers, remoteControllers } = this.#options;
     for (const address of [...localControllers, ...remoteControllers]) {
-      this.run(() => this.#follow(address));
+      this.run(() => this.#pollPeriodically(address));
     }
   }
 
-  /** Milliseconds since the peer at an address said that it is active; infinite when never. */
+  /**
+   * Milliseconds since the last answered poll to the controller at an address was sent; infinite when that answer did
+   * not say that the controller is active, or when there is none.
+   */
   activeSilence(address: string): number {
-    const peer = this.#peers.get(address);
-    return peer?.reply?.active === true ? monotonicMs() - peer.heardAt : Infinity;
+    const polled = this.#controllers.get(address);
+    return polled?.reply?.active === true ? monotonicMs() - polled.answeredPollSentAt : Infinity;
   }
 
-  /** Peers with their last known revision. */
+  /** The polled controllers with their last known configuration revisions. */
   status(): {
     address: string;
     controller: string;
     revision: number;
     silentMs: number;
   }[] {
-    return [...this.#peers].map(([address, peer]) => ({
+    return [...this.#controllers].map(([address, polled]) => ({
       address,
-      controller: peer.reply?.controller ?? '',
-      revision: peer.reply?.revision ?? 0,
-      silentMs: Math.round(monotonicMs() - peer.heardAt),
+      controller: polled.reply?.controller ?? '',
+      revision: polled.reply?.revision ?? 0,
+      silentMs: Math.round(monotonicMs() - polled.answeredPollSentAt),
     }));
   }
 
-  /** Asks all peers once, so that a fresh process learns the highest revision around. */
+  /** Polls all controllers once, so that a process that has just started learns the highest configuration revision. */
   async askAll(): Promise<void> {
     const { localControllers, remoteControllers } = this.#options;
     await Promise.all(
@@ -73,7 +89,7 @@
     );
   }
 
-  async #follow(address: string): Promise<void> {
+  async #pollPeriodically(address: string): Promise<void> {
     while (!this.stopped) {
       await this.#poll(address);
       await sleep(this.#options.periodMs, this.signal);
@@ -85,36 +101,36 @@
     if (address === ownAddress()) {
       return;
     }
-    const peer = this.#peer(address);
+    const polled = this.#getOrAddController(address);
     const sentAt = monotonicMs();
     try {
-      const timeoutMs = periodMs * 4;
-      const request = this.#request(peer);
+      const timeoutMs = periodMs * POLL_TIMEOUT_PERIODS;
+      const request = this.#buildRequest(polled);
       const reply = await links
         .to(address)
         .request<PollReply>(LINK_REQUESTS.poll, request, timeoutMs);
-      peer.reply = reply;
-      peer.heardAt = sentAt;
-      peer.sendConfiguration = reply.wantConfiguration;
+      polled.reply = reply;
+      polled.answeredPollSentAt = sentAt;
+      polled.sendConfiguration = reply.wantConfiguration;
       remotes.take(reply, failureDomain, sentAt);
       if (reply.configuration !== undefined) {
         holder.offer(reply.configuration);
       }
     } catch {
-      // Silence shows in the age of the last answer.
+      // A failed poll needs no handling here: the age of the last answer shows it.
     }
   }
 
-  #peer(address: string): Peer {
-    let peer = this.#peers.get(address);
-    if (peer === undefined) {
-      peer = { reply: undefined, heardAt: -Infinity, sendConfiguration: false };
-      this.#peers.set(address, peer);
+  #getOrAddController(address: string): PolledController {
+    let polled = this.#controllers.get(address);
+    if (polled === undefined) {
+      polled = { reply: undefined, answeredPollSentAt: -Infinity, sendConfiguration: false };
+      this.#controllers.set(address, polled);
     }
-    return peer;
+    return polled;
   }
 
-  #request(peer: Peer): PollRequest {
+  #buildRequest(polled: PolledController): PollRequest {
     const { instance, failureDomain, holder, remotes } = this.#options;
     return {
       instance,
@@ -122,7 +138,7 @@
       failureDomain,
       role: 'controller',
       revision: holder.revision,
-      configuration: peer.sendConfiguration ? holder.current : undefined,
+      configuration: polled.sendConfiguration ? holder.current : undefined,
       views: remotes.versions(),
       cacheFrom: {},
       leaving: false,
--- a/packages/controller/src/views/poll-handler.ts
+++ b/packages/controller/src/views/poll-handler.ts
@@ -1,4 +1,4 @@
-/** Answers polls of gateways and of other controllers. */
+/** Answers the polls of gateways and of other controllers. */
 import type { Certificate, DomainView, VersionedEvacuation } from '@hingescale/core';
 import { certificateExpiry } from '@hingescale/core';
 import type {
@@ -18,23 +18,26 @@
 
 /** Options of the poll handler. */
 export type PollHandlerOptions = {
+  /** Name of this controller. */
   readonly name: string;
   readonly failureDomain: string;
+  /** Lifetime of a readiness certificate, in milliseconds. */
   readonly certificateMs: number;
   readonly lease: LeaseTask;
   readonly holder: ConfigurationHolder;
   readonly prober: MemberProber;
   readonly roster: GatewayRoster;
   readonly remotes: RemoteDomains;
-  /** The own view, or undefined while this process does not vouch for it. */
+  /** View of this failure domain; undefined while this controller is not the last known lease holder. */
   readonly ownView: () => DomainView | undefined;
-  /** The orders to evacuate failure domains; undefined before they were read from the platform. */
+  /** The evacuation orders; undefined until they have been read from the platform. */
   readonly evacuations: () => readonly VersionedEvacuation[] | undefined;
   readonly loads: () => readonly LoadReport[];
+  /** Cache events of all groups from the given numbers on, by group. */
   readonly cacheEvents: (from: Readonly<Record<string, number>>) => readonly GroupCacheEvents[];
 };
 
-/** Answers polls. */
+/** Builds the answers to polls from the last known state of the failure domains. */
 export class PollHandler {
   readonly #options: PollHandlerOptions;
 
@@ -42,7 +45,7 @@
     this.#options = options;
   }
 
-  /** Answers one poll. */
+  /** Answers one poll; also takes over a newer configuration that it carries, and records polls of gateways. */
   answer(poll: PollRequest): PollReply {
     const { name, lease, holder, roster, ownView } = this.#options;
     if (poll.configuration !== undefined) {
@@ -64,17 +67,17 @@
       evacuations: fromGateway ? this.#options.evacuations() : undefined,
       usage: fromGateway ? roster.usageWithout(poll.instance) : [],
       cacheEvents: fromGateway ? this.#options.cacheEvents(poll.cacheFrom) : [],
-      ...this.#domains(poll, view, fromGateway),
+      ...this.#domainState(poll, view, fromGateway),
     };
   }
 
-  /** Certificates of the own groups that may be used now. */
+  /** Readiness certificates that are valid now, for the groups in a view of this failure domain. */
   ownCertificates(view: DomainView): Certificate[] {
     const { prober, certificateMs } = this.#options;
     const answers = prober.answers();
     const now = monotonicMs();
     return view.groups.flatMap(({ group }) => {
-      // A draining group still finishes streams, which need its certificate.
+      // A draining group also gets one, because the streams that it finishes need it.
       const serving = group.state === 'ready' || group.state === 'draining';
       const expiry = serving ? certificateExpiry(group, answers, certificateMs) : 0;
       const remainingMs = (expiry ?? 0) - now;
@@ -82,26 +85,26 @@
     });
   }
 
-  // Other controllers only get this failure domain; gateways get all that is known.
-  #domains(
+  // Other controllers get the state of this failure domain only; gateways get that of all failure domains.
+  #domainState(
     poll: PollRequest,
     view: DomainView | undefined,
     withRemotes: boolean,
   ): Pick<PollReply, 'views' | 'certificates' | 'loads' | 'keys'> {
     const { remotes, loads } = this.#options;
-    const own = view === undefined ? [] : [view];
-    const views = withRemotes ? [...own, ...remotes.views()] : own;
+    const ownViews = view === undefined ? [] : [view];
+    const views = withRemotes ? [...ownViews, ...remotes.views()] : ownViews;
     const certificates = view === undefined ? [] : this.ownCertificates(view);
-    const grant = this.#grant();
+    const ownGrants = this.#keyGrants();
     return {
       views: views.filter(entry => poll.views[entry.failureDomain] !== entry.version),
       certificates: withRemotes ? [...certificates, ...remotes.certificates()] : certificates,
       loads: withRemotes ? [...loads(), ...remotes.loads()] : loads(),
-      keys: withRemotes ? [...grant, ...remotes.grants()] : grant,
+      keys: withRemotes ? [...ownGrants, ...remotes.grants()] : ownGrants,
     };
   }
 
-  #grant(): KeyGrant[] {
+  #keyGrants(): KeyGrant[] {
     const { lease, failureDomain } = this.#options;
     const table = lease.lease?.keys;
     const remainingMs = lease.confirmedAt + (table?.leaseMs ?? 0) - monotonicMs();
--- a/packages/controller/src/views/remote-domains.ts
+++ b/packages/controller/src/views/remote-domains.ts
@@ -1,34 +1,38 @@
-/** What this controller knows of other failure domains, and which peers have which revision. */
+/** Last known state of the other failure domains, as their controllers answered it to polls. */
 import type { Certificate, DomainView, FailureDomainId, RemoteGroup } from '@hingescale/core';
 import type { KeyGrant, LoadReport, PollReply } from '@hingescale/link';
 import { monotonicMs } from '@hingescale/runtime';
 
-type Remote = {
+/** Last known state of one other failure domain. */
+type RemoteDomain = {
   view: DomainView | undefined;
   certificates: readonly Certificate[];
   loads: readonly LoadReport[];
   grant: KeyGrant | undefined;
-  /** When the poll that brought this was sent. */
-  sentAt: number;
+  /** When the poll was sent whose answer brought the key grant, certificates and loads, in monotonic milliseconds. */
+  pollSentAt: number;
 };
 
-/** Views, certificates and key tables of other failure domains, aged since they were asked for. */
+/**
+ * Holds views, certificates, load reports and key grants of other failure domains. Remaining times and ages are counted
+ * from the moment the poll was sent.
+ */
 export class RemoteDomains {
-  readonly #remotes = new Map<FailureDomainId, Remote>();
+  readonly #remotes = new Map<FailureDomainId, RemoteDomain>();
 
-  /** Takes the answer to a poll that was sent at `sentAt`, for other domains than `own`. */
+  /** Stores what a reply says of other failure domains than `own`; its poll was sent at `sentAt` (monotonic ms). */
   take(reply: PollReply, own: FailureDomainId, sentAt: number): void {
     for (const view of reply.views) {
       if (view.failureDomain !== own) {
-        this.#remote(view.failureDomain).view = view;
+        this.#getOrAdd(view.failureDomain).view = view;
       }
     }
     for (const grant of reply.keys) {
       const { failureDomain } = grant;
       if (failureDomain !== own) {
-        const remote = this.#remote(failureDomain);
+        const remote = this.#getOrAdd(failureDomain);
         remote.grant = grant;
-        remote.sentAt = sentAt;
+        remote.pollSentAt = sentAt;
         const groups = new Set(remote.view?.groups.map(entry => entry.group.id));
         remote.certificates = reply.certificates.filter(entry => groups.has(entry.group));
         remote.loads = reply.loads.filter(entry => groups.has(entry.group));
@@ -36,7 +40,7 @@
     }
   }
 
-  /** Versions of the views held, by failure domain. */
+  /** Versions of the stored views, by failure domain; empty for a domain without a view. */
   versions(): Record<FailureDomainId, string> {
     const versions: Record<FailureDomainId, string> = {};
     for (const [failureDomain, remote] of this.#remotes) {
@@ -45,12 +49,12 @@
     return versions;
   }
 
-  /** The views held. */
+  /** The stored views. */
   views(): DomainView[] {
     return [...this.#remotes.values()].flatMap(remote => remote.view ?? []);
   }
 
-  /** Groups of the other failure domains. */
+  /** Content and state of the groups in the stored views. */
   groups(): RemoteGroup[] {
     return this.views().flatMap(view =>
       view.groups.map(({ failureDomain, group }) => ({
@@ -62,40 +66,40 @@
   }
 
   /**
-   * Failure domains among `all` that were heard once and then fell silent for long, while this process listened:
-   * since `resumedAt`, in monotonic milliseconds.
+   * Failure domains among `all` whose controllers have answered before, but not within the last `silentMs`. A time in
+   * which this process did not run does not count: it has run since `resumedAt`, in monotonic milliseconds.
    */
   absent(all: readonly FailureDomainId[], silentMs: number, resumedAt: number): FailureDomainId[] {
-    const listenedMs = monotonicMs() - resumedAt;
+    const runningMs = monotonicMs() - resumedAt;
     return all.filter(domain => {
       const remote = this.#remotes.get(domain);
-      return remote !== undefined && Math.min(age(remote), listenedMs) > silentMs;
+      return remote !== undefined && Math.min(ageOf(remote), runningMs) > silentMs;
     });
   }
 
-  /** Certificates with what is left of them now. */
+  /** Certificates that are still valid, with their remaining times now. */
   certificates(): Certificate[] {
     return [...this.#remotes.values()].flatMap(remote =>
       remote.certificates
         .map(entry => ({
           ...entry,
-          remainingMs: entry.remainingMs - age(remote),
+          remainingMs: entry.remainingMs - ageOf(remote),
         }))
         .filter(entry => entry.remainingMs > 0),
     );
   }
 
-  /** Load reports with their present age. */
+  /** Load reports with their current ages. */
   loads(): LoadReport[] {
     return [...this.#remotes.values()].flatMap(remote =>
       remote.loads.map(entry => ({
         ...entry,
-        ageMs: entry.ageMs + age(remote),
+        ageMs: entry.ageMs + ageOf(remote),
       })),
     );
   }
 
-  /** Key tables with what is left of them now. */
+  /** Key grants with their remaining times now. */
   grants(): KeyGrant[] {
     return [...this.#remotes.values()].flatMap(remote =>
       remote.grant === undefined
@@ -103,13 +107,13 @@
         : [
             {
               ...remote.grant,
-              remainingMs: remote.grant.remainingMs - age(remote),
+              remainingMs: remote.grant.remainingMs - ageOf(remote),
             },
           ],
     );
   }
 
-  #remote(failureDomain: FailureDomainId): Remote {
+  #getOrAdd(failureDomain: FailureDomainId): RemoteDomain {
     let remote = this.#remotes.get(failureDomain);
     if (remote === undefined) {
       remote = {
@@ -117,7 +121,7 @@
         certificates: [],
         loads: [],
         grant: undefined,
-        sentAt: 0,
+        pollSentAt: 0,
       };
       this.#remotes.set(failureDomain, remote);
     }
@@ -125,6 +129,6 @@
   }
 }
 
-function age(remote: Remote): number {
-  return monotonicMs() - remote.sentAt;
+function ageOf(remote: RemoteDomain): number {
+  return monotonicMs() - remote.pollSentAt;
 }
--- a/packages/upstream/src/host-client.ts
+++ b/packages/upstream/src/host-client.ts
@@ -1,4 +1,4 @@
-/** Client of model-engine hosts: state, orders, load reports, cache events. */
+/** HTTP client for hosts that run model engines: state, orders, load reports, cache events. */
 import type { CacheEvents, EngineLoad, HostOrder, HostStateReport } from '@hingescale/core';
 import type { Log } from '@hingescale/runtime';
 import { timeoutSignal } from '@hingescale/runtime';
@@ -6,10 +6,13 @@
 import type { Dispatcher } from 'undici';
 import { Agent, request } from 'undici';
 
-/** Why a call to a host failed. `refused`: the host knows a newer fence or epoch. */
+/**
+ * Why a call to a host failed. `silent`: no valid answer arrived in time; `refused`: the host has received an order
+ * with a newer fence or epoch; `failed`: it answered with another status than success.
+ */
 export type HostErrorReason = 'silent' | 'refused' | 'failed';
 
-/** A failed call to a host. */
+/** The error of a failed call to a host. */
 export class HostError extends Error {
   readonly reason: HostErrorReason;
 
@@ -22,13 +25,16 @@
 
 /** Options of a host client. */
 export type HostClientOptions = {
+  /** Time limit of connecting and of a whole call, in milliseconds. */
   readonly timeoutMs: number;
   readonly log: Log;
 };
 
 const HTTP_CONFLICT = 409;
+const FIRST_NON_SUCCESS_STATUS = 300;
+const CONNECTIONS_PER_HOST = 4;
 
-/** Calls hosts by address. */
+/** Calls the control API of hosts, which are given by address, and logs each call. */
 export class HostClient {
   readonly #options: HostClientOptions;
   readonly #agent: Agent;
@@ -38,31 +44,31 @@
     this.#agent = new Agent({
       connect: { timeout: options.timeoutMs },
       pipelining: 1,
-      connections: 4,
+      connections: CONNECTIONS_PER_HOST,
     });
   }
 
-  /** What the host holds. */
+  /** Reads the state of the host: its incarnation, and the group and epoch it serves. */
   state(address: string): Promise<Result<HostStateReport, HostError>> {
     return this.#call(address, 'GET', '/v1/state');
   }
 
-  /** Gives the host an order. */
+  /** Sends an order to the host; returns the state that the host answers. */
   order(address: string, order: HostOrder): Promise<Result<HostStateReport, HostError>> {
     return this.#call(address, 'POST', '/v1/orders', order);
   }
 
-  /** The engine's load report, which lags. */
+  /** Reads the engine's load report, which is older than the answer by its `ageMs`. */
   load(address: string): Promise<Result<EngineLoad, HostError>> {
     return this.#call(address, 'GET', '/v1/load');
   }
 
-  /** Cache events from a number on. */
+  /** Reads the engine's cache events from number `from` on. */
   cacheEvents(address: string, from: number): Promise<Result<CacheEvents, HostError>> {
     return this.#call(address, 'GET', `/v1/cache-events?from=${from}`);
   }
 
-  /** Closes the connections. */
+  /** Closes all connections; calls in progress fail. */
   async close(): Promise<void> {
     await this.#agent.destroy();
   }
@@ -102,7 +108,7 @@
       if (response.statusCode === HTTP_CONFLICT) {
         return Result.err(new HostError('refused', text));
       }
-      if (response.statusCode >= 300) {
+      if (response.statusCode >= FIRST_NON_SUCCESS_STATUS) {
         return Result.err(new HostError('failed', `status ${response.statusCode}: ${text}`));
       }
       return Result.ok(JSON.parse(text) as T);
--- a/packages/upstream/src/index.ts
+++ b/packages/upstream/src/index.ts
@@ -1,3 +1,3 @@
-/** Access to upstream hosts. */
+/** Client and prober for upstream hosts. */
 export * from './host-client.js';
 export * from './member-prober.js';
--- a/packages/upstream/src/member-prober.ts
+++ b/packages/upstream/src/member-prober.ts
@@ -1,10 +1,10 @@
-/** Probes hosts on a fixed period and remembers their last answers. */
+/** Probes hosts at a fixed period and keeps their last answers. */
 import type { HostId, HostStateReport, MemberAnswer } from '@hingescale/core';
 import { monotonicMs, sleep, Task } from '@hingescale/runtime';
 
 import type { HostClient } from './host-client.js';
 
-/** A host to probe. */
+/** A host to probe and its address. */
 export type ProbeTarget = { readonly host: HostId; readonly address: string };
 
 /** The last answer of a host. */
@@ -14,9 +14,9 @@
   readonly probeSentAt: number;
 };
 
-/** What a prober tells. */
+/** Messages of a prober. */
 export type MemberProberMessages = {
-  /** A host answered something else than before, or answered again after silence. */
+  /** The report of a host differs from its previous one, or the host answers again after an unanswered probe. */
   changed: { readonly host: HostId };
 };
 
@@ -25,7 +25,7 @@
   readonly #client: HostClient;
   readonly #periodMs: number;
   readonly #observations = new Map<HostId, HostObservation>();
-  readonly #silent = new Set<HostId>();
+  readonly #unanswered = new Set<HostId>();
   readonly #inFlight = new Set<HostId>();
   #targets: readonly ProbeTarget[] = [];
 
@@ -35,12 +35,12 @@
     this.#periodMs = periodMs;
   }
 
-  /** Last answers by host. */
+  /** The last answer of each host. */
   get observations(): ReadonlyMap<HostId, HostObservation> {
     return this.#observations;
   }
 
-  /** Replaces the set of hosts to probe; answers of hosts that left are forgotten. */
+  /** Replaces the set of hosts to probe; deletes the answers of hosts that are not in it. */
   retarget(targets: readonly ProbeTarget[]): void {
     this.#targets = targets;
     const wanted = new Set(targets.map(target => target.host));
@@ -70,7 +70,7 @@
     }
   }
 
-  /** The last answer in the form that certificates are judged by. */
+  /** The last answers of hosts that are in a group, in the form from which certificates are computed. */
   answers(): Map<HostId, MemberAnswer> {
     const answers = new Map<HostId, MemberAnswer>();
     for (const [host, { report, probeSentAt }] of this.#observations) {
@@ -82,15 +82,18 @@
     return answers;
   }
 
-  /** Takes a report that came as the answer to an order. */
+  /**
+   * Stores a report that answers a probe or an order; `sentAt` is when that was sent, in monotonic milliseconds. An
+   * older report than the stored one is ignored.
+   */
   take(host: HostId, report: HostStateReport, sentAt: number): void {
-    const before = this.#observations.get(host);
-    if (before !== undefined && before.probeSentAt > sentAt) {
+    const previous = this.#observations.get(host);
+    if (previous !== undefined && previous.probeSentAt > sentAt) {
       return;
     }
     this.#observations.set(host, { report, probeSentAt: sentAt });
-    const again = this.#silent.delete(host);
-    if (again || before === undefined || !sameReport(before.report, report)) {
+    const answersAgain = this.#unanswered.delete(host);
+    if (answersAgain || previous === undefined || !isSameReport(previous.report, report)) {
       void this.messages.emit('changed', { host });
     }
   }
@@ -100,16 +103,16 @@
     const sentAt = monotonicMs();
     const state = await this.#client.state(target.address);
     this.#inFlight.delete(target.host);
-    // An answer under another name means the address was given to another host.
+    // An answer that names another host means that the address now belongs to that host.
     if (state.isOk && state.value.host === target.host) {
       this.take(target.host, state.value, sentAt);
     } else {
-      this.#silent.add(target.host);
+      this.#unanswered.add(target.host);
     }
   }
 }
 
-function sameReport(a: HostStateReport, b: HostStateReport): boolean {
+function isSameReport(a: HostStateReport, b: HostStateReport): boolean {
   return (
     a.incarnation === b.incarnation &&
     a.group === b.group &&
