--- a/packages/entry/src/hosts/host-registry.test.ts
+++ b/packages/entry/src/hosts/host-registry.test.ts
@@ -25,7 +25,7 @@
     expect(registry.get('h')?.lastModel).to.equal('large');
   });
 
-  it('takes the word of a host that leaves before its entry, which may say otherwise or return', () => {
+  it('applies the announced shutdown of a host before its entry, which may contradict it or be written again', () => {
     const registry = registryWith({ startedAt: 7 });
     const { version } = registry;
     registry.noteLeaving({ id: 'h', startedAt: 7 });
@@ -40,14 +40,14 @@
     registry.takeList({ revision: 3, objects: [] });
     put(4, 7);
     expect(registry.get('h')?.accepting).to.equal(false);
-    // Another start of the host has said nothing of the kind.
+    // Another start of the host has not announced a shutdown.
     put(5, 8);
     expect(registry.get('h')?.accepting).to.equal(true);
     registry.noteLeaving({ id: 'h', startedAt: 7 });
     expect(registry.get('h')?.accepting).to.equal(true);
   });
 
-  it('knows the newest model only', () => {
+  it('remembers only the newest model', () => {
     const registry = registryWith(
       { loadedModel: 'large' },
       { loadedModel: 'small' },
@@ -58,14 +58,14 @@
     expect(registry.get('h')?.lastModel).to.equal('small');
   });
 
-  it('tells of each entry whether its incarnation is there, back or new, and of what has gone', () => {
+  it('reports for each entry whether its incarnation is known, back or new, and which hosts were removed', () => {
     const batches: string[] = [];
     const read = (id: string): HostReading => readTestHost(testHost(id));
     const registry = new HostRegistry(read, silentLog(), ({ taken, departed }) => {
-      const came = taken.map(
+      const entries = taken.map(
         ({ entry, revision, standing }) => `${entry.id}@${revision} ${standing}`,
       );
-      batches.push([...came, ...departed.map(({ id }) => `${id} gone`)].join(', '));
+      batches.push([...entries, ...departed.map(({ id }) => `${id} gone`)].join(', '));
     });
     const object = (name: string, revision: number) => ({ name, revision, value: null });
     registry.takeList({ revision: 2, objects: [object('x', 1), object('y', 2)] });
@@ -85,11 +85,11 @@
     ]);
   });
 
-  it('takes the changes of one answer as one change of its own', async () => {
+  it('applies the changes of one answer as a single change', async () => {
     const registry = registryWith();
-    let told = 0;
+    let changeEvents = 0;
     registry.messages.on('changed', () => {
-      told += 1;
+      changeEvents += 1;
     });
     const versionBefore = registry.version;
     registry.takeChanges(
@@ -100,10 +100,10 @@
     );
     await new Promise(resolve => setTimeout(resolve, 5));
     expect(registry.version - versionBefore).to.equal(1);
-    expect(told).to.equal(1);
+    expect(changeEvents).to.equal(1);
   });
 
-  it('writes one line for many arrivals, so that the first list hides no other line', () => {
+  it('logs one line for many arrivals, so that the first list does not suppress other lines', () => {
     const lines: string[] = [];
     const log = { ...silentLog(), info: (message: string) => lines.push(message) };
     const registry = new HostRegistry(id => readTestHost(testHost(id)), log as Log);
@@ -117,7 +117,7 @@
     expect(lines).to.deep.equal(['hosts arrived', 'host arrived']);
   });
 
-  it('remembers it for a host whose entry went and came back', () => {
+  it('remembers the last model of a host whose entry was removed and written again', () => {
     const registry = registryWith({ loadedModel: 'large' });
     registry.takeChanges([{ object: { name: 'h', revision: 2, value: undefined }, deleted: true }]);
     const object = { name: 'h', revision: 3, value: { loadedModel: undefined } };
@@ -126,8 +126,8 @@
   });
 });
 
-describe('hosts that requests may go to', () => {
-  it('are heads of groups and hosts of plain services, by their entries alone', () => {
+describe('routable hosts', () => {
+  it('are heads of groups and hosts of plain services, determined by their entries alone', () => {
     const member = (rank: number): HostEntry =>
       testHost('m', { membership: { group: 'g', epoch: 1, rank, state: 'joining' } });
     expect(isRoutable(member(0))).to.equal(true);
@@ -137,13 +137,15 @@
     expect(isRoutable(undefined)).to.equal(false);
   });
 
-  it('takes a start under the same id for another host, of which nothing of before holds', () => {
+  it('treats a restart under the same id as another host, without the state of the earlier start', () => {
     const batches: string[] = [];
     const read = (id: string, value: unknown): HostReading =>
       readTestHost(testHost(id, value as Partial<HostEntry>));
     const registry = new HostRegistry(read, silentLog(), ({ taken, departed }) => {
-      const came = taken.map(({ entry, standing }) => `${incarnationOf(entry)} ${standing}`);
-      batches.push([...departed.map(entry => `${incarnationOf(entry)} gone`), ...came].join(', '));
+      const entries = taken.map(({ entry, standing }) => `${incarnationOf(entry)} ${standing}`);
+      batches.push(
+        [...departed.map(entry => `${incarnationOf(entry)} gone`), ...entries].join(', '),
+      );
     });
     const write = (revision: number, value: Partial<HostEntry>): void => {
       registry.takeChanges([{ object: { name: 'h', revision, value }, deleted: false }]);
@@ -152,7 +154,7 @@
     write(1, { startedAt: 10, loadedModel: 'large' });
     write(2, { startedAt: 20, loadedModel: undefined });
     expect(registry.get('h')?.lastModel).to.equal(undefined);
-    // An entry that the earlier start wrote, and that arrives late.
+    // A late entry of the earlier start.
     write(3, { startedAt: 10, loadedModel: 'large' });
     expect(registry.get('h')?.startedAt).to.equal(20);
     registry.takeChanges([{ object: { name: 'h', revision: 4, value: null }, deleted: true }]);
--- a/packages/entry/src/hosts/host-registry.ts
+++ b/packages/entry/src/hosts/host-registry.ts
@@ -1,4 +1,4 @@
-/** What this entry host believes of all upstream hosts, fed by a watch of the object store. */
+/** Known upstream hosts of this entry host, updated by a watch of the object store. */
 import { isLaterRevision } from '@hingescale/core';
 import Emittery from 'emittery';
 
@@ -11,103 +11,103 @@
 import { incarnationOf, isSameStart } from './host-entry.js';
 import { StartMemory } from './start-memory.js';
 
-/** Messages of the registry. */
+/** Events of the registry. */
 export type HostMessages = {
-  /** Any host has come, changed or gone. */
+  /** A host was added, changed or removed. */
   readonly changed: undefined;
+  /** A host's entry was removed, or its process restarted; carries the last known entry. */
   readonly departed: HostEntry;
 };
 
-/** Reads a host from the value of its object, whatever that is; does not throw. */
+/** Parses a host from the value of its object, whatever that is; does not throw. */
 export type HostReader = (id: string, value: unknown) => HostReading;
 
-/** An entry that can not be read. */
-type Unreadable = { readonly id: string; readonly revision: number; readonly reason: string };
+/** An entry that cannot be parsed. */
+type UnreadableEntry = { readonly id: string; readonly revision: number; readonly reason: string };
 
-/** An entry that was received and taken over. */
+/** An entry that was received and applied. */
 export type TakenEntry = {
   readonly entry: HostEntry;
   /** Revision of the store at which it was written. */
   readonly revision: number;
   /**
-   * `first`: from this process's first list; `new`: of a host not known before, or not this start of it; `back`:
-   * of a host whose entry had gone less than a minute ago; `known`: a newer entry of a host that is present.
+   * `first`: from this process's first list; `new`: of a host, or a start of a host, that was not known before;
+   * `back`: of a host whose entry was removed less than a minute ago; `known`: a newer entry of a present host.
    */
   readonly standing: 'first' | 'new' | 'back' | 'known';
 };
 
-/** The changes of one answer of the store or a peer. */
+/** The changes from one answer of the store or a peer. */
 export type HostBatch = {
   readonly taken: readonly TakenEntry[];
-  /** Hosts that are gone, and earlier starts of hosts whose process has started again under the same id. */
+  /** Hosts that were removed, and earlier starts of hosts whose process has restarted under the same id. */
   readonly departed: readonly HostEntry[];
 };
 
+/** How long the entry of a removed host is remembered, in milliseconds. */
 const FORGET_DEPARTED_MS = 60_000;
-/** Hosts of one answer up to which each has a line: a rack or a scale-out, not a whole list. */
-const MOST_LINES = 20;
+/** Most hosts of one answer that get a log line each: enough for a rack or a scale-out, not for a whole list. */
+const MAX_HOST_LINES = 20;
 
-/** The hosts, by id and by service. */
+/** The upstream hosts, by id and by service. */
 export class HostRegistry {
   readonly messages = new Emittery<HostMessages>();
-  readonly #read: HostReader;
+  readonly #parse: HostReader;
   readonly #log: Log;
-  readonly #batchTaken: (batch: HostBatch) => void;
+  readonly #onBatch: (batch: HostBatch) => void;
   readonly #counters: Counters | undefined;
   readonly #hosts = new Map<string, HostEntry>();
   readonly #revisions = new Map<string, number>();
   readonly #departed = new Map<string, DepartedHost>();
-  /** Starts of hosts that have said that they are shutting down; see {@link noteLeaving}. */
+  /** Starts of hosts that have announced their shutdown; see {@link noteLeaving}. */
   readonly #leaving = new StartMemory<true>();
   #byService: Map<string, HostEntry[]> | undefined;
   #version = 0;
   #isListed = false;
 
-  /** `batchTaken` is called for each answer, before any request can be sent to hosts of it. */
+  /** `onBatch` is called for each answer, before any request can be sent to hosts of it. */
   constructor(
     read: HostReader,
     log: Log,
-    batchTaken: (batch: HostBatch) => void = (): void => undefined,
+    onBatch: (batch: HostBatch) => void = (): void => undefined,
     counters?: Counters,
   ) {
     this.#counters = counters;
-    this.#read = read;
+    this.#parse = read;
     this.#log = log;
-    this.#batchTaken = batchTaken;
+    this.#onBatch = onBatch;
   }
 
-  /** Rises with each change, so that derived views know when to be made anew. */
+  /** Rises with each change, so that derived views can tell when to recompute. */
   get version(): number {
     return this.#version;
   }
 
-  /** A host whose entry is there. */
+  /** The entry of a present host. */
   get(id: string): HostEntry | undefined {
     return this.#hosts.get(id);
   }
 
-  /**
-   * What is known of a host now: its entry, or where that has gone the one that was known when the host was chosen.
-   */
+  /** The host's present entry or, if that was removed, the one that was known when the host was chosen. */
   latestOf(chosen: HostEntry): HostEntry {
     const entry = this.#hosts.get(chosen.id);
     return entry ?? { ...chosen, accepting: chosen.accepting && !this.#isLeaving(chosen) };
   }
 
-  /** Hosts of a service whose entries are there. */
+  /** The present hosts of a service. */
   ofService(service: string): readonly HostEntry[] {
     this.#byService ??= groupByService(this.#hosts.values());
     return this.#byService.get(service) ?? [];
   }
 
-  /** Hosts of a service whose entries went in the last minute. */
+  /** Hosts of a service whose entries were removed in the last minute. */
   departedOf(service: string): readonly DepartedHost[] {
     return [...this.#departed.values()].filter(host => host.entry.service === service);
   }
 
   /**
-   * A host has said that it is shutting down. Its entry says so later, or never, and may have been written before:
-   * entries of this start of it count as of one that does not accept requests from now on.
+   * Records that a host announced its shutdown. Its entry may say so later or never, and an entry written before may
+   * still arrive: from now on all entries of this start count as not accepting requests.
    */
   noteLeaving(host: HostIncarnation): void {
     this.#leaving.set(host, true);
@@ -119,12 +119,12 @@
   }
 
   /**
-   * Which of two entries of a host is later; for `WatchedKind`. A start is later than those before it, and that a
-   * host shuts down is the last that it says.
+   * Which of two entries of a host is later; for `WatchedKind`. A start is later than earlier starts of the host,
+   * and within a start the announcement of the shutdown is the last state.
    */
   readonly isLater: StateOrder = (listed, known) => {
     const [reading, knownReading] = [listed, known].map(({ name, value }) =>
-      this.#read(name, value),
+      this.#parse(name, value),
     );
     if (reading?.kind !== 'host' || knownReading?.kind !== 'host') {
       return undefined;
@@ -138,19 +138,19 @@
     return entry.accepting ? undefined : true;
   };
 
-  /** Takes the whole list; hosts not in it are gone. */
+  /** Applies the whole list; hosts that are not in it are removed. */
   takeList(list: ObjectList): void {
     const present = new Set(list.objects.map(object => object.name));
-    const gone = [...this.#hosts.keys()].filter(id => !present.has(id));
-    const departed = gone.flatMap(id => this.#remove(id));
-    const taken = this.#putAll(list.objects, departed);
+    const removedIds = [...this.#hosts.keys()].filter(id => !present.has(id));
+    const departed = removedIds.flatMap(id => this.#remove(id));
+    const taken = this.#applyAll(list.objects, departed);
     this.#isListed = true;
-    this.#finish({ taken, departed });
+    this.#finishBatch({ taken, departed });
   }
 
   /**
-   * Takes changes, in the order in which they were made, as one change of this registry: views that
-   * are derived from it are made anew once for all of them.
+   * Applies changes, in the order in which they were made, as one change of this registry, so that derived views
+   * are recomputed once for all of them.
    */
   takeChanges(changes: readonly ObjectChange[]): void {
     const taken: TakenEntry[] = [];
@@ -159,23 +159,23 @@
       if (deleted) {
         departed.push(...this.#remove(object.name));
       } else {
-        taken.push(...this.#putAll([object], departed));
+        taken.push(...this.#applyAll([object], departed));
       }
     }
-    this.#finish({ taken, departed });
+    this.#finishBatch({ taken, departed });
   }
 
-  // A host whose entry can not be read any more is gone as one without an entry is: nothing new is sent there,
-  // and what runs there ends by itself. The others hold.
-  #putAll(objects: readonly StoredObject[], departed: HostEntry[]): TakenEntry[] {
+  // A host whose entry can no longer be parsed is treated as removed: no new requests are sent to it, and those in
+  // progress run to their end. The other hosts are not affected.
+  #applyAll(objects: readonly StoredObject[], departed: HostEntry[]): TakenEntry[] {
     const taken: TakenEntry[] = [];
-    const unreadable: Unreadable[] = [];
+    const unreadable: UnreadableEntry[] = [];
     for (const object of objects) {
       const known = this.#revisions.get(object.name);
       if (known === undefined || isLaterRevision(object.revision, known)) {
-        const reading = this.#read(object.name, object.value);
+        const reading = this.#parse(object.name, object.value);
         if (reading.kind === 'host') {
-          taken.push(...this.#put(object, reading.entry, departed));
+          taken.push(...this.#applyEntry(object, reading.entry, departed));
         } else {
           unreadable.push({ id: object.name, revision: object.revision, reason: reading.reason });
           departed.push(...this.#remove(object.name));
@@ -186,21 +186,28 @@
     return taken;
   }
 
-  #finish(batch: HostBatch): void {
+  #finishBatch(batch: HostBatch): void {
     this.#logDepartures(batch.departed.map(({ id }) => id));
     const arrived = batch.taken.filter(({ standing }) => standing !== 'known');
     this.#logArrivals(arrived.map(({ entry }) => entry));
-    this.#batchTaken(batch);
+    this.#onBatch(batch);
     this.#noteChange();
   }
 
-  // A host whose process has started again under its id knows nothing of before: its earlier start has departed.
-  #put(object: StoredObject, entry: HostEntry, departed: HostEntry[]): readonly TakenEntry[] {
+  // A restarted process has none of the state of its earlier start, which therefore counts as departed.
+  #applyEntry(
+    object: StoredObject,
+    entry: HostEntry,
+    departed: HostEntry[],
+  ): readonly TakenEntry[] {
     const { name, revision } = object;
     const last = this.#hosts.get(name) ?? this.#departed.get(name)?.entry;
     this.#revisions.set(name, revision);
     if (isEarlierStart(entry, last)) {
-      this.#log.warn('late entry of an earlier start ignored', { host: name, revision });
+      this.#log.warn('ignored a late entry of an earlier start of the host', {
+        host: name,
+        revision,
+      });
       return [];
     }
     const isRestart = last !== undefined && !isSameStart(last.startedAt, entry.startedAt);
@@ -232,19 +239,19 @@
     return before === undefined ? 'new' : 'back';
   }
 
-  #logUnreadable(unreadable: readonly Unreadable[]): void {
+  #logUnreadable(unreadable: readonly UnreadableEntry[]): void {
     if (unreadable.length === 0) {
       return;
     }
     this.#counters?.count('host_entries_unreadable_total', {}, unreadable.length);
-    for (const { id, revision, reason } of unreadable.slice(0, MOST_LINES)) {
-      this.#log.warn('host entry can not be read', { host: id, revision, reason });
+    for (const { id, revision, reason } of unreadable.slice(0, MAX_HOST_LINES)) {
+      this.#log.warn('host entry cannot be parsed', { host: id, revision, reason });
     }
   }
 
-  // The first list would otherwise fill the log's bound of lines and hide what follows it.
+  // One line per host of the first list would use up the log's line limit and suppress the lines that follow.
   #logArrivals(arrived: readonly HostEntry[]): void {
-    if (arrived.length > MOST_LINES) {
+    if (arrived.length > MAX_HOST_LINES) {
       this.#log.info('hosts arrived', { count: arrived.length, first: arrived[0]?.id });
       return;
     }
@@ -253,18 +260,18 @@
     }
   }
 
-  #logDepartures(gone: readonly string[]): void {
-    if (gone.length > MOST_LINES) {
-      this.#log.info('hosts departed', { count: gone.length, first: gone[0] });
+  #logDepartures(ids: readonly string[]): void {
+    if (ids.length > MAX_HOST_LINES) {
+      this.#log.info('hosts departed', { count: ids.length, first: ids[0] });
       return;
     }
-    for (const host of gone) {
+    for (const host of ids) {
       const group = this.#departed.get(host)?.entry.membership?.group;
       this.#log.info('host departed', { host, group });
     }
   }
 
-  // The entry that was removed; empty if there was none.
+  // Returns the removed entry; empty if there was none.
   #remove(id: string): readonly HostEntry[] {
     const entry = this.#hosts.get(id);
     if (entry === undefined) {
@@ -280,11 +287,11 @@
   #noteChange(): void {
     this.#version += 1;
     this.#byService = undefined;
-    this.#forgetOld();
+    this.#forgetOldDepartures();
     void this.messages.emit('changed', undefined);
   }
 
-  #forgetOld(): void {
+  #forgetOldDepartures(): void {
     const oldest = monotonicMs() - FORGET_DEPARTED_MS;
     for (const [id, host] of this.#departed) {
       if (host.since < oldest) {
--- a/packages/entry/src/lease/lease-history.test.ts
+++ b/packages/entry/src/lease/lease-history.test.ts
@@ -1,7 +1,7 @@
 /**
- * The lease while the store comes back from older copies, at drawn moments, with writes whose answers are lost and
- * writes that are done late. Guards against two entry hosts that give orders at once, and against epochs that
- * hosts have seen before.
+ * Tests the lease while the store is restored from older copies at random times, some answers to writes are lost and
+ * some writes are carried out late. Guards against two lease holders at once, and against epochs that hosts have
+ * already seen.
  */
 import { eraOf, numberInEra, revisionIn } from '@hingescale/core';
 import { expect } from 'chai';
@@ -15,17 +15,21 @@
 import { LeaseTask } from './lease-task.js';
 
 const TIMING: LeaseTiming = { renewMs: 20, holdMs: 80, expiryMs: 170 };
-const DAY_MS = 1_500;
-const DRAWS = 12;
+/** Length of a scenario, in milliseconds. */
+const SCENARIO_MS = 1_500;
+/** Number of random scenarios in a run, unless LEASE_DRAWS sets another. */
+const SCENARIOS = 12;
 
+/** Content of the store; `number` is the revision's number within the era. */
 type State = { readonly number: number; readonly object: StoredObject | undefined };
+/** A conditional write; `fits` checks the condition when the write is carried out. */
 type Write = { readonly fits: () => boolean; readonly name: string; readonly value: unknown };
 
-/** How the next write is treated. */
+/** What happens to the next write: `late` writes are carried out after the call has failed. */
 type Treatment = 'done' | 'answer-lost' | 'late';
 
-/** One object whose store can come back from a copy. */
-class FallingStore {
+/** A store of one object that can be restored from an older copy. */
+class RestorableStore {
   treatments: Treatment[] = [];
   #era = 1;
   #state: State = { number: 10, object: undefined };
@@ -34,7 +38,7 @@
   readonly store: ObjectStore = {
     list: () => Promise.reject(new StoreError('refused', 'not used')),
     watch: () => Promise.reject(new StoreError('refused', 'not used')),
-    read: () => Promise.resolve(this.#shown()),
+    read: () => Promise.resolve(this.#present()),
     create: (_kind, name, value) =>
       this.#write({ fits: () => this.#state.object === undefined, name, value }),
     replace: (_kind, name, value, revision) => this.#replace(name, value, revision),
@@ -42,19 +46,19 @@
     close: () => undefined,
   };
 
-  /** Comes back as it was some milliseconds ago. */
-  comeBackFrom(ageMs: number): void {
+  /** Restores the state of `ageMs` milliseconds ago, in a new era. */
+  restoreFrom(ageMs: number): void {
     const at = performance.now() - ageMs;
     const copy = this.#history.filter(entry => entry.at <= at).at(-1);
     this.#era += 1;
     this.#state = copy?.state ?? { number: 10, object: undefined };
   }
 
-  // As the platform's client does: a revision of an earlier era is not sent, and one that was sent before names
-  // the number only.
+  // Behaves like the platform's client: a revision of an earlier era is not sent, and a write that was sent before a
+  // restore is compared by its number only.
   async #replace(name: string, value: unknown, revision: number): Promise<WriteAnswer> {
     if (eraOf(revision) !== this.#era) {
-      return { kind: 'conflict', object: this.#shown() };
+      return { kind: 'conflict', object: this.#present() };
     }
     const number = numberInEra(revision);
     const fits = (): boolean => numberInEra(this.#state.object?.revision ?? 0) === number;
@@ -80,7 +84,7 @@
 
   #apply({ fits, name, value }: Write): WriteAnswer {
     if (!fits()) {
-      return { kind: 'conflict', object: this.#shown() };
+      return { kind: 'conflict', object: this.#present() };
     }
     const number = this.#state.number + 1;
     const object = { name, revision: revisionIn(this.#era, number), value };
@@ -89,7 +93,7 @@
     return { kind: 'written', object };
   }
 
-  #shown(): StoredObject | undefined {
+  #present(): StoredObject | undefined {
     const { object } = this.#state;
     return object && { ...object, revision: revisionIn(this.#era, numberInEra(object.revision)) };
   }
@@ -99,10 +103,13 @@
   return new Promise(resolve => setTimeout(resolve, ms));
 }
 
-type Fall = { readonly afterMs: number; readonly ageMs: number };
-type Day = { readonly falls: readonly Fall[]; readonly treatments: readonly Treatment[] };
+type Restore = { readonly afterMs: number; readonly ageMs: number };
+type Scenario = {
+  readonly restores: readonly Restore[];
+  readonly treatments: readonly Treatment[];
+};
 
-const fall: fc.Arbitrary<Fall> = fc.record({
+const restore: fc.Arbitrary<Restore> = fc.record({
   afterMs: fc.integer({ min: 40, max: 500 }),
   ageMs: fc.integer({ min: 5, max: 400 }),
 });
@@ -114,14 +121,17 @@
   'answer-lost',
   'late',
 );
-const day: fc.Arbitrary<Day> = fc.record({
-  falls: fc.array(fall, { minLength: 1, maxLength: 5 }),
+const scenario: fc.Arbitrary<Scenario> = fc.record({
+  restores: fc.array(restore, { minLength: 1, maxLength: 5 }),
   treatments: fc.array(treatment, { minLength: 10, maxLength: 60 }),
 });
 
-/** Plays a day with three candidates; gives the most holders at once and the epochs that they gave, in order. */
-async function play({ falls, treatments }: Day): Promise<{ most: number; epochs: number[] }> {
-  const store = new FallingStore();
+/** Runs a scenario with three candidates; returns the most holders at once and the epochs of all in order. */
+async function runScenario({
+  restores,
+  treatments,
+}: Scenario): Promise<{ most: number; epochs: number[] }> {
+  const store = new RestorableStore();
   store.treatments = [...treatments];
   const series = new Map<LeaseTask, EpochSeries>();
   for (const host of ['a', 'b', 'c']) {
@@ -132,41 +142,41 @@
   }
   let most = 0;
   const epochs: number[] = [];
-  const look = setInterval(() => {
+  const poll = setInterval(() => {
     const holders = [...series].filter(([task]) => task.renewedAt !== undefined);
     most = Math.max(most, holders.length);
     holders.forEach(([task, own]) => epochs.push(own.next(task.renewedAt ?? 0) ?? NaN));
   }, 3);
-  const until = performance.now() + DAY_MS;
-  for (const { afterMs, ageMs } of falls) {
+  const until = performance.now() + SCENARIO_MS;
+  for (const { afterMs, ageMs } of restores) {
     await wait(afterMs);
-    store.comeBackFrom(ageMs);
+    store.restoreFrom(ageMs);
   }
   await wait(Math.max(0, until - performance.now()));
-  clearInterval(look);
+  clearInterval(poll);
   for (const task of series.keys()) {
     task.abandon();
   }
   return { most, epochs };
 }
 
-describe('the lease of a store that comes back from older copies', () => {
-  // Two entry hosts held the lease for a second, after the store had come back.
-  it('is held by one at a time, with epochs that only rise, and is held again', async () => {
+describe('the lease of a store that is restored from older copies', () => {
+  // Guards against a fault in which two entry hosts held the lease for a second after a restore of the store.
+  it('is held by one at a time, with epochs that only rise, and is acquired again', async () => {
     await fc.assert(
-      fc.asyncProperty(day, async drawn => {
-        const { most, epochs } = await play(drawn);
+      fc.asyncProperty(scenario, async drawn => {
+        const { most, epochs } = await runScenario(drawn);
         expect(most).to.equal(1);
         expect(
           epochs.every((epoch, index) => index === 0 || epoch > (epochs[index - 1] ?? 0)),
         ).to.equal(true);
       }),
-      { numRuns: Number(process.env.LEASE_DRAWS ?? DRAWS), endOnFailure: true },
+      { numRuns: Number(process.env.LEASE_DRAWS ?? SCENARIOS), endOnFailure: true },
     );
   }).timeout(600_000);
 
-  it('is held on by its holder when the copy shows an earlier one', async () => {
-    const store = new FallingStore();
+  it('stays with its holder when the copy shows an earlier one', async () => {
+    const store = new RestorableStore();
     const holder = new LeaseTask({
       store: store.store,
       host: 'a',
@@ -181,7 +191,7 @@
     void holder.run();
     await wait(100);
     const { term } = holder;
-    store.comeBackFrom(50);
+    store.restoreFrom(50);
     await wait(300);
     expect(holder.term).to.equal(term);
     expect(lost).to.have.length(0);
@@ -190,7 +200,7 @@
 });
 
 describe('epochs of groups', () => {
-  it('are above those of an earlier era, whatever numbers its revisions had', () => {
+  it('are above those of an earlier era, whatever the numbers of its revisions', () => {
     const before = new EpochSeries().next(revisionIn(1, 900_000)) ?? Infinity;
     const after = new EpochSeries().next(revisionIn(2, 3));
     expect(after).to.be.above(before);
@@ -201,7 +211,7 @@
     expect(new EpochSeries().next(5)).to.be.above(40_000 * 100_000 + 99_999);
   });
 
-  it('end with one renewal and go on with the next', () => {
+  it('run out within one renewal and continue with the next', () => {
     const series = new EpochSeries();
     const given = Array.from({ length: 5_000 }, () => series.next(7));
     const last = given.filter(epoch => epoch !== undefined).at(-1);
--- a/packages/entry/src/lease/lease-task.test.ts
+++ b/packages/entry/src/lease/lease-task.test.ts
@@ -9,11 +9,12 @@
 
 const TIMING: LeaseTiming = { renewMs: 30, holdMs: 120, expiryMs: 250 };
 
-/** One object, with writes that may be lost on their way or whose answers may be. */
+/** A store of one object whose writes, or the answers to them, can be lost. */
 class LeaseStore {
   object: StoredObject | undefined;
+  /** What is lost: nothing, writes before they are carried out, or answers after. */
   fails: 'nothing' | 'before' | 'after' = 'nothing';
-  /** Time that answers to writes take, in milliseconds; the write itself takes none. */
+  /** Delay of answers to writes, in milliseconds; the write itself is immediate. */
   answerMs = 0;
   #revision = 10;
 
@@ -55,7 +56,7 @@
   return new LeaseTask({ ...options, timing: TIMING, clock, log: silentLog() });
 }
 
-/** A clock whose machine can be suspended; the time that others see goes on. */
+/** Clock of a machine that can be suspended, while wall-clock time continues. */
 class SuspendableClock extends ElapsedClock {
   readonly #suspend: (ms: number) => void;
 
@@ -100,14 +101,14 @@
 
   it('is held by one at a time', async () => {
     const all = ['a', 'b', 'c'].map(host => start(host));
-    for (let look = 0; look < 20; look++) {
+    for (let round = 0; round < 20; round++) {
       await wait(20);
       expect(all.filter(task => task.term !== undefined).length).to.be.at.most(1);
     }
     expect(all.filter(task => task.term !== undefined)).to.have.length(1);
   });
 
-  it('passes on after its time, with a higher term, and not before', async () => {
+  it('passes to another host with a higher term after its expiry, and not before', async () => {
     const first = start('a');
     await wait(60);
     const term = first.term ?? 0;
@@ -120,7 +121,7 @@
     expect(second.term).to.be.greaterThan(term);
   });
 
-  it('lapses at a holder that can not renew, before others may take it', async () => {
+  it('lapses at a holder that cannot renew, before others may acquire it', async () => {
     const first = start('a');
     const second = start('b');
     await wait(60);
@@ -141,7 +142,7 @@
     expect(first.term).to.be.a('number');
   });
 
-  it('goes at once to the next start of the host that held it', async () => {
+  it('passes at once to the next start of the host that held it', async () => {
     const first = start('a', 1);
     await wait(60);
     expect(first.term).to.be.a('number');
@@ -151,7 +152,7 @@
     expect(again.term).to.be.greaterThan(first.term ?? 0);
   });
 
-  it('is given back by a planned stop', async () => {
+  it('is released by a planned stop', async () => {
     const first = start('a');
     await wait(60);
     await first.stop();
@@ -174,20 +175,20 @@
       expect(holder.term).to.be.a('number');
     });
 
-    function takenByAnother(): void {
+    function writeLeaseOfOtherHost(): void {
       const revision = (store.object?.revision ?? 0) + 1;
       store.object = { name: 'order-giver', revision, value: { holder: 'b-1', host: 'b' } };
     }
 
-    it('is not held any more as soon as it may be another one that holds it', () => {
+    it('is no longer held once another host may hold it', () => {
       for (const ms of SUSPENSIONS_MS) {
         clock.suspend(ms);
         expect(holder.term === undefined).to.equal(ms >= TIMING.holdMs);
       }
     });
 
-    it('stays with whoever has taken it meanwhile', async () => {
-      takenByAnother();
+    it('stays with the host that acquired it during the suspension', async () => {
+      writeLeaseOfOtherHost();
       clock.suspend(5_000);
       expect(holder.term).to.equal(undefined);
       await wait(TIMING.holdMs);
@@ -195,7 +196,7 @@
       expect((store.object?.value as { holder: string }).holder).to.equal('b-1');
     });
 
-    it('is taken again within a moment where nobody has, with a higher term', async () => {
+    it('is acquired again at once, with a higher term, if no other host acquired it', async () => {
       const term = holder.term ?? 0;
       clock.suspend(5_000);
       expect(holder.term).to.equal(undefined);
@@ -203,16 +204,16 @@
       expect(holder.term).to.be.greaterThan(term);
     });
 
-    it('does not hold by the answer to a renewal that was sent before', async () => {
+    it('is not extended by the answer to a renewal sent before the suspension', async () => {
       store.answerMs = 60;
       await wait(TIMING.renewMs + 10);
       clock.suspend(5_000);
-      takenByAnother();
+      writeLeaseOfOtherHost();
       await wait(100);
       expect(holder.term).to.equal(undefined);
     });
 
-    it('does not begin by the answer to a take-over that was sent before', async () => {
+    it('is not acquired by the answer to a takeover sent before the suspension', async () => {
       const other = new SuspendableClock();
       store.object = undefined;
       store.answerMs = 60;
@@ -222,7 +223,7 @@
       void late.run();
       await wait(20);
       other.suspend(5_000);
-      takenByAnother();
+      writeLeaseOfOtherHost();
       await wait(100);
       expect(late.term).to.equal(undefined);
     });
--- a/packages/entry/src/lease/lease-task.ts
+++ b/packages/entry/src/lease/lease-task.ts
@@ -1,13 +1,13 @@
 /**
- * The lease of the one entry host that gives orders.
+ * Acquires and renews the lease, whose holder is the one entry host that sends orders.
  *
- * It is one object in the store, changed only under its revision. The revision of the change that took the lease
- * is the term; epochs of groups are derived from the revisions of its renewals, so those of a later holder are
- * always higher, and hosts refuse what an earlier holder sent late.
+ * The lease is one object in the store, replaced only if its revision is unchanged. The revision of the write that
+ * acquired it is the term. Epochs of groups are derived from the revisions of its renewals, so those of a later
+ * holder are always higher, and hosts refuse orders of an earlier holder that arrive late.
  *
- * A store that comes back from an older copy shows an earlier holder, or none, while the last one still acts. The
- * object tells in which era of the store it was written: while that is an earlier one, it says nothing about who
- * holds the lease, and others than the last holder wait until that one's time is over.
+ * A store restored from an older copy shows an earlier holder, or none, while the last one still acts. The object
+ * contains the era of the store in which it was written: while that is an earlier era, the object does not show who
+ * holds the lease, and entry hosts other than the last holder wait until the holder's time is over.
  */
 import type { Revision } from '@hingescale/core';
 import { eraOf, isLaterRevision, isOfItsEra as isLeaseOfItsEra } from '@hingescale/core';
@@ -21,84 +21,90 @@
 import type { ObjectStore, StoredObject } from '../store/object-store.js';
 import { OBJECT_KINDS } from '../store/object-store.js';
 
-/** Messages of the lease. */
+/** Events of the lease. */
 export type LeaseMessages = {
   readonly taken: { readonly term: number };
   readonly lost: { readonly reason: string };
 };
 
-/** Periods in milliseconds. */
+/** Periods of the lease, in milliseconds. */
 export type LeaseTiming = {
+  /** Time between renewals, and between the attempts of others to acquire the lease. */
   readonly renewMs: number;
-  /** The holder acts for this long after it sent its last renewal that was answered. */
+  /** How long the holder acts, counted from when it sent its last renewal that was answered. */
   readonly holdMs: number;
-  /** Others take over when the lease has not changed for this long; longer than `holdMs`. */
+  /** Other entry hosts take over when the lease has not changed for this long; longer than `holdMs`. */
   readonly expiryMs: number;
 };
 
-/** Options of a lease. */
+/** Options of {@link LeaseTask}. */
 export type LeaseOptions = {
   readonly store: ObjectStore;
-  /** Name of this host, the same after each start. */
+  /** Name of this host, which stays the same across restarts. */
   readonly host: string;
   /** Unique per start of the process. */
   readonly instance: string;
   readonly timing: LeaseTiming;
-  /** False while others are to take the lease; a lease that is held is kept all the same. */
+  /** False while other entry hosts should acquire the lease; a lease that is already held is kept. */
   readonly eligible?: () => boolean;
-  /** Counts suspensions, after which the lease may be another's. */
+  /** Clock that counts suspensions, during which another entry host may have acquired the lease. */
   readonly clock?: ElapsedClock;
   readonly log: Log;
 };
 
-/** Timing that hosts of the size of today bear well. */
+/** Default periods of the lease, which entry hosts of the present size sustain. */
 export const DEFAULT_LEASE_TIMING: LeaseTiming = { renewMs: 1_200, holdMs: 2_600, expiryMs: 3_400 };
 
 const LEASE_NAME = 'order-giver';
-const NOBODY = '';
+/** Holder of a lease that was released. */
+const NO_HOLDER = '';
 
+/** The lease as stored. */
 type LeaseValue = {
+  /** Instance of the holder. */
   readonly holder: string;
   readonly host: string;
-  /** Era of the store in which it was written; absent: the first. */
+  /** Era of the store in which it was written; absent for the first era. */
   readonly era?: number;
 };
 
-/** Competes for the lease, and renews it while held. */
+/** Competes for the lease, and renews it while it is held. */
 export class LeaseTask {
   readonly messages = new Emittery<LeaseMessages>();
   readonly #options: LeaseOptions;
   readonly #abort = new AbortController();
   readonly #failures: FailureSeries;
   readonly #clock: ElapsedClock;
-  /** Ends the pause before the next look at the lease. */
+  /** Ends the pause before the next read or renewal of the lease. */
   #wake = new AbortController();
-  #seen: StoredObject | undefined;
-  #seenAt = 0;
+  /** The lease as last read or written. */
+  #knownLease: StoredObject | undefined;
+  /** When the present revision of the lease was first observed. */
+  #lastChangeAt = 0;
   #term: Revision | undefined;
   #heldUntil = 0;
-  /** Since when the object has been missing although it was there before. */
+  /** Since when the object has been missing although it existed before. */
   #missingSince: number | undefined;
 
   constructor(options: LeaseOptions) {
     this.#options = options;
-    this.#failures = new FailureSeries(options.log, 'look at or renew the lease');
+    this.#failures = new FailureSeries(options.log, 'read or renew the lease');
     this.#clock = options.clock ?? elapsedClock;
   }
 
-  /** Term of the lease while it is held for sure. */
+  /** Term of the lease while this host certainly holds it. */
   get term(): Revision | undefined {
     return this.#clock.now() < this.#heldUntil ? this.#term : undefined;
   }
 
-  /** Revision of the last renewal while the lease is held for sure; that of the term at first. */
+  /** Revision of the last renewal while this host certainly holds the lease; equal to the term before the first. */
   get renewedAt(): Revision | undefined {
-    return this.term === undefined ? undefined : this.#seen?.revision;
+    return this.term === undefined ? undefined : this.#knownLease?.revision;
   }
 
-  /** Host that held the lease when it was last looked at. */
+  /** Host that held the lease when it was last read or written. */
   get holderHost(): string | undefined {
-    return (this.#seen?.value as LeaseValue | null | undefined)?.host;
+    return (this.#knownLease?.value as LeaseValue | null | undefined)?.host;
   }
 
   /** Runs until it is stopped. */
@@ -113,82 +119,89 @@
       wake();
     });
     while (!this.#abort.signal.aborted) {
-      this.#noteLapse();
+      this.#endTermIfLapsed();
       try {
         await this.#step();
         this.#failures.succeeded();
       } catch (error) {
-        // A lease that is held may lapse meanwhile.
+        // A lease that is held may have lapsed during the failed call, which is checked below.
         this.#failures.failed(error);
       }
-      this.#noteLapse();
-      const spread = this.#term === undefined ? 0.8 + 0.4 * Math.random() : 1;
+      this.#endTermIfLapsed();
+      // Spreads the attempts of the hosts that compete for the lease over 80 to 120 % of the period.
+      const jitter = this.#term === undefined ? 0.8 + 0.4 * Math.random() : 1;
       this.#wake = new AbortController();
-      await sleep(timing.renewMs * spread, this.#wake.signal);
+      await sleep(timing.renewMs * jitter, this.#wake.signal);
     }
   }
 
-  /** Ends the task; a lease that is held lapses by itself. */
+  /** Ends the task without releasing the lease; a lease that is held lapses by itself. */
   abandon(): void {
     this.#abort.abort();
   }
 
-  /** Ends the task and gives the lease back. */
+  /** Ends the task and releases the lease. */
   async stop(): Promise<void> {
     this.#abort.abort();
-    const seen = this.#seen;
-    if (this.term === undefined || seen === undefined) {
+    const lease = this.#knownLease;
+    if (this.term === undefined || lease === undefined) {
       return;
     }
-    this.#lose('stopping');
+    this.#endTerm('stopping');
     try {
-      const era = eraOf(seen.revision);
-      const value: LeaseValue = { holder: NOBODY, host: this.#options.host, era };
-      await this.#options.store.replace(OBJECT_KINDS.leases, LEASE_NAME, value, seen.revision);
+      const era = eraOf(lease.revision);
+      const value: LeaseValue = { holder: NO_HOLDER, host: this.#options.host, era };
+      await this.#options.store.replace(OBJECT_KINDS.leases, LEASE_NAME, value, lease.revision);
     } catch (error) {
-      this.#options.log.warn('lease not given back, it lapses by itself', { cause: String(error) });
+      this.#options.log.warn('failed to release the lease, which will lapse by itself', {
+        cause: String(error),
+      });
     }
   }
 
   async #step(): Promise<void> {
-    if (this.#term !== undefined && this.#seen !== undefined) {
-      await this.#write(this.#seen.revision);
+    if (this.#term !== undefined && this.#knownLease !== undefined) {
+      await this.#write(this.#knownLease.revision);
       return;
     }
     const { store, timing, eligible = () => true } = this.#options;
     if (!eligible()) {
       return;
     }
-    // An old answer only delays a take-over: it is written under the revision that was read.
-    const found = await store.read(OBJECT_KINDS.leases, LEASE_NAME, this.#seen !== undefined);
+    // A stale answer only delays a takeover, since the write requires that the revision is still the one read.
+    const found = await store.read(OBJECT_KINDS.leases, LEASE_NAME, this.#knownLease !== undefined);
     if (found === undefined) {
-      await this.#createOnceFree();
+      await this.#createWhenFree();
       return;
     }
-    this.#note(found);
-    const isLeft = holderOf(found) === NOBODY || this.#isOwn(found) || this.#isEarlierStart(found);
-    const isFree = isLeft && isOfItsEra(found);
-    if (isFree || this.#clock.now() - this.#seenAt >= timing.expiryMs) {
-      await this.#write(this.#seen?.revision ?? found.revision);
+    this.#recordIfLater(found);
+    const isUnheld =
+      holderOf(found) === NO_HOLDER || this.#isOwn(found) || this.#isEarlierStart(found);
+    const isFree = isUnheld && isOfItsEra(found);
+    if (isFree || this.#clock.now() - this.#lastChangeAt >= timing.expiryMs) {
+      await this.#write(this.#knownLease?.revision ?? found.revision);
     }
   }
 
-  // A lease that was there is missing where the store has come back from a copy of before: its holder may still act.
-  async #createOnceFree(): Promise<void> {
+  // A lease that existed is missing if the store was restored from a copy made before it: its holder may still act.
+  async #createWhenFree(): Promise<void> {
     const now = this.#clock.now();
     this.#missingSince ??= now;
-    if (this.#seen === undefined || now - this.#missingSince >= this.#options.timing.expiryMs) {
+    if (
+      this.#knownLease === undefined ||
+      now - this.#missingSince >= this.#options.timing.expiryMs
+    ) {
       await this.#create();
     }
   }
 
-  // It has lapsed here, by a suspension or an outage, and nobody has taken it since. Whoever writes under its
-  // revision first has it.
+  // The lease of this process lapsed in a suspension or an outage, and no other entry host has acquired it since.
+  // The first one to replace it at its present revision acquires it.
   #isOwn(object: StoredObject): boolean {
     return holderOf(object) === this.#options.instance;
   }
 
-  // Another start of this host held it: that process has ended, so nobody is waited for.
+  // Another start of this host held the lease. That process has ended, so there is no holder to wait for.
   #isEarlierStart(object: StoredObject): boolean {
     const { host, instance } = this.#options;
     const value = object.value as LeaseValue | null;
@@ -217,27 +230,26 @@
     }
     const { object } = answer;
     const isRenewal = this.term !== undefined;
-    if (object !== undefined && !isRepeated && this.#mayWriteOver(object, isRenewal)) {
-      this.#take(object);
+    if (object !== undefined && !isRepeated && this.#mayOverwrite(object, isRenewal)) {
+      this.#record(object);
       await this.#write(object.revision, true);
       return;
     }
-    this.#lose(object === undefined ? 'gone' : 'taken');
+    this.#endTerm(object === undefined ? 'gone' : 'taken');
     if (object !== undefined) {
-      this.#take(object);
+      this.#record(object);
     }
   }
 
-  // An earlier write of this process was done although its answer was lost; or the store has lost the last writes,
-  // and
-  // nobody can have taken the lease since while this process still holds it.
-  #mayWriteOver(object: StoredObject, isRenewal: boolean): boolean {
+  // Either an earlier write of this process was carried out although its answer was lost, or the store has lost the
+  // last writes; while this process still holds the lease, no other can have acquired it since.
+  #mayOverwrite(object: StoredObject, isRenewal: boolean): boolean {
     return isOfItsEra(object) ? this.#isOwn(object) : isRenewal;
   }
 
   #hold(object: StoredObject, sentAt: number): void {
     const { timing, log, instance } = this.#options;
-    this.#take(object);
+    this.#record(object);
     this.#heldUntil = sentAt + timing.holdMs;
     if (this.#term === undefined) {
       this.#term = object.revision;
@@ -246,28 +258,31 @@
     }
   }
 
-  // An answer that may be old; see `step`.
-  #note(object: StoredObject): void {
-    if (this.#seen === undefined || isLaterRevision(object.revision, this.#seen.revision)) {
-      this.#take(object);
+  // Records a read lease unless the answer, which may be stale (see `#step`), is older than the recorded one.
+  #recordIfLater(object: StoredObject): void {
+    if (
+      this.#knownLease === undefined ||
+      isLaterRevision(object.revision, this.#knownLease.revision)
+    ) {
+      this.#record(object);
     }
   }
 
-  #take(object: StoredObject): void {
+  #record(object: StoredObject): void {
     this.#missingSince = undefined;
-    if (this.#seen?.revision !== object.revision) {
-      this.#seenAt = this.#clock.now();
+    if (this.#knownLease?.revision !== object.revision) {
+      this.#lastChangeAt = this.#clock.now();
     }
-    this.#seen = object;
+    this.#knownLease = object;
   }
 
-  #noteLapse(): void {
+  #endTermIfLapsed(): void {
     if (this.#term !== undefined && this.#clock.now() >= this.#heldUntil) {
-      this.#lose('lapsed');
+      this.#endTerm('lapsed');
     }
   }
 
-  #lose(reason: string): void {
+  #endTerm(reason: string): void {
     if (this.#term === undefined) {
       return;
     }
@@ -283,5 +298,5 @@
 }
 
 function holderOf(object: StoredObject): string {
-  return (object.value as LeaseValue | null)?.holder ?? NOBODY;
+  return (object.value as LeaseValue | null)?.holder ?? NO_HOLDER;
 }
--- a/packages/entry/src/store/followed-kinds.test.ts
+++ b/packages/entry/src/store/followed-kinds.test.ts
@@ -7,20 +7,20 @@
 import type { KindReader } from './kind-reader.js';
 import { OBJECT_KINDS } from './object-store.js';
 
-/** Time that answers take on the way, with room for a busy host, in milliseconds. */
+/** Transit time of answers in milliseconds, with a margin for a busy host. */
 const TRANSIT_MS = 300;
 
 const ignore = (): void => undefined;
 
 describe('followed kinds', () => {
   for (const [kind, timing] of Object.entries(KIND_TIMINGS)) {
-    it(`${kind} are not taken for stale while nothing changes`, () => {
-      const oldest = 2 * timing.storeWaitMs + timing.peerWaitMs + TRANSIT_MS;
-      expect(timing.staleMs).to.be.at.least(oldest);
+    it(`${kind} are not treated as stale while nothing changes`, () => {
+      const maxConfirmationAgeMs = 2 * timing.storeWaitMs + timing.peerWaitMs + TRANSIT_MS;
+      expect(timing.staleMs).to.be.at.least(maxConfirmationAgeMs);
     });
   }
 
-  it('tell how old what they know is at a send, and count those that rest on old knowledge', async () => {
+  it('report the age of the known objects at a send, and count sends based on old objects', async () => {
     const metrics = newMetrics();
     const askedMsAgo = KIND_TIMINGS[OBJECT_KINDS.configuration]?.staleMs ?? 0;
     const reader: KindReader = {
--- a/packages/entry/src/store/followed-kinds.ts
+++ b/packages/entry/src/store/followed-kinds.ts
@@ -1,4 +1,4 @@
-/** The kinds that an entry host follows, and how closely. */
+/** The kinds of objects that an entry host follows, and the timing of each. */
 import { elapsedMs } from '../server/elapsed-time.js';
 import type { Log } from '../server/log.js';
 import type { GaugeReading, Metrics } from '../server/metrics.js';
@@ -9,41 +9,42 @@
 import type { KindObserver, ReaderChoice } from './watched-kind.js';
 import { RESTORE_MS, WatchedKind } from './watched-kind.js';
 
-/** Options of the followed kinds. */
+/** Options of {@link FollowedKinds}. */
 export type FollowedKindsOptions = {
   readonly readers: ReaderChoice;
   readonly observers: Readonly<Partial<Record<ObjectKind, KindObserver>>>;
-  /** True while the store itself is followed, not a peer. */
+  /** True while this host reads from the store itself, not from a peer. */
   readonly followsStore: () => boolean;
-  /** How much of the hosts this host needs. */
+  /** Part of the upstream hosts that this host needs. */
   readonly hostsView: () => KindView;
-  /** Resolves when the peers are known, from whom hosts and urgent kinds are then read, or after a moment. */
+  /** Resolves when the peers, from which hosts and urgent kinds are then read, are known, or after a timeout. */
   readonly peersKnown: () => Promise<void>;
-  /** Whom the first list of hosts comes from, where that is not whom `readers` chooses. */
+  /** Reader of the first list of hosts; where absent or undefined, `readers` chooses it. */
   readonly firstReader?: () => KindReader | undefined;
-  /** True while this host gives orders. */
+  /** True while this host is the lease holder. */
   readonly givesOrders: () => boolean;
   readonly log: Log;
   readonly metrics: Metrics;
 };
 
-/** How closely a kind is followed; all in milliseconds. */
+/** Timing by which a kind is followed; all in milliseconds. */
 export type Timing = {
-  /** Longest wait of one call. */
+  /** Longest wait of one call to the store. */
   readonly storeWaitMs: number;
+  /** Longest wait of one call to a peer. */
   readonly peerWaitMs: number;
-  /** Pause after an answer that brought changes. */
+  /** Pause after an answer with changes. */
   readonly pauseMs: number;
-  /** Pause of the host that gives orders. */
+  /** The same pause at the lease holder. */
   readonly giverPauseMs: number;
   /**
-   * Age of a confirmation from which a reader counts as stale. While nothing changes, what a peer
-   * has was confirmed up to two waits at the store ago.
+   * Age of a confirmation from which a reader counts as stale. While nothing changes, the last confirmation of a
+   * peer is up to two waitsForPeers at the store old.
    */
   readonly staleMs: number;
   /**
-   * For how long what is known stands against an older copy of the store; {@link RESTORE_MS} where nothing is
-   * said.
+   * How long known objects take precedence over a store restored from an older copy; {@link RESTORE_MS} by
+   * default.
    */
   readonly restoreMs?: number;
 };
@@ -57,7 +58,7 @@
   giverPauseMs: 250,
   staleMs: 2_400,
 };
-/** Loads travel with the questions for hosts, so that these wait for less time. */
+/** Load figures are sent along with the calls for hosts, so these calls wait for less time. */
 const HOSTS_TIMING: Timing = {
   storeWaitMs: 1_000,
   peerWaitMs: 250,
@@ -73,8 +74,8 @@
   staleMs: 9_000,
 };
 /**
- * Evacuations are rare, and a long poll is answered as soon as there is one, so long waits save calls at no
- * delay. But the wait also bounds how long a silent reader goes unnoticed, and an evacuation has to take
+ * Evacuations are rare, and a long poll is answered as soon as there is one, so long waitsForPeers save calls without
+ * delay. But a reader that does not answer goes unnoticed for as long as the wait, and an evacuation has to take
  * effect within seconds.
  */
 const EVACUATIONS_TIMING: Timing = {
@@ -83,12 +84,12 @@
   pauseMs: 50,
   giverPauseMs: 50,
   staleMs: 4_500,
-  // A person may have to write it again, and requests must not go to the failure domain until then.
+  // After a restore an operator may have to write it again; requests must not go to the failure domain until then.
   restoreMs: 15_000,
 };
 /**
- * Entry hosts know of a request in quarantine from each other; the store tells those that start. A long poll is
- * answered as soon as there is one, so the waits are as long as those for members.
+ * Entry hosts report requests in quarantine to each other; the store is needed only by those that start. A long
+ * poll is answered as soon as there is one, so the waitsForPeers are as long as those for members.
  */
 const QUARANTINE_TIMING: Timing = {
   storeWaitMs: 3_000,
@@ -97,7 +98,7 @@
   giverPauseMs: 50,
   staleMs: 9_000,
 };
-/** The timing of each kind. */
+/** The timing of each kind that is followed. */
 export const KIND_TIMINGS: Readonly<Partial<Record<ObjectKind, Timing>>> = {
   [OBJECT_KINDS.configuration]: CONFIGURATION_TIMING,
   [OBJECT_KINDS.hosts]: HOSTS_TIMING,
@@ -108,14 +109,14 @@
 
 /**
  * True for kinds whose changes have to arrive sooner than several failing readers in a row would allow. A
- * configuration has two seconds; with six silent peers in a row it took 5.6 s, from the store after two of them
- * 1.7 s.
+ * configuration has to arrive within two seconds: after six peers in a row that did not answer it took 5.6 s, from
+ * the store after two of them 1.7 s.
  */
 export function isUrgent(kind: ObjectKind): boolean {
   return kind === OBJECT_KINDS.evacuations || kind === OBJECT_KINDS.configuration;
 }
 
-/** A watch for each kind that has an observer. */
+/** Runs a watch for each kind that has an observer. */
 export class FollowedKinds {
   readonly #watches = new Map<ObjectKind, WatchedKind>();
   readonly #options: FollowedKindsOptions;
@@ -129,7 +130,7 @@
         this.#watches.set(kind, watchOf(kind, observer, timing, options));
       }
     }
-    options.metrics.gauges.follow('confirmation_age_seconds', () => this.#ages());
+    options.metrics.gauges.follow('confirmation_age_seconds', () => this.#ageReadings());
   }
 
   /** The watch of a kind, if it is followed. */
@@ -141,17 +142,17 @@
   start(): void {
     const { log, peersKnown } = this.#options;
     for (const [kind, watch] of this.#watches) {
-      const waits = kind === OBJECT_KINDS.hosts || isUrgent(kind);
-      const before = waits ? peersKnown() : Promise.resolve();
+      const waitsForPeers = kind === OBJECT_KINDS.hosts || isUrgent(kind);
+      const ready = waitsForPeers ? peersKnown() : Promise.resolve();
       runTask(
         log,
         kind,
-        before.then(() => watch.run()),
+        ready.then(() => watch.run()),
       );
     }
   }
 
-  /** Asks at once whether what is known of all kinds still holds. */
+  /** Confirms the known objects of all kinds by immediate reads. */
   confirmNow(): void {
     this.#watches.forEach(watch => {
       void watch.confirmNow();
@@ -159,8 +160,8 @@
   }
 
   /**
-   * How long ago the store was last asked a question that confirmed what is known of a kind, in milliseconds;
-   * undefined: never. A send that rests on an age beyond the kind's own bound is counted.
+   * Time since the last query of the store that confirmed the known objects of a kind, in milliseconds; undefined
+   * if there was none. Counts a send whose age exceeds the kind's `staleMs`.
    */
   ageAtSendMs(kind: ObjectKind): number | undefined {
     const ageMs = this.#ageMs(kind);
@@ -175,14 +176,14 @@
     return confirmedAt === -Infinity ? undefined : Math.round(elapsedMs() - confirmedAt);
   }
 
-  #ages(): readonly GaugeReading[] {
+  #ageReadings(): readonly GaugeReading[] {
     return [...this.#watches.keys()].flatMap(kind => {
       const ageMs = this.#ageMs(kind);
       return ageMs === undefined ? [] : [{ labels: { kind }, value: ageMs / MS_PER_S }];
     });
   }
 
-  /** Ends all watches. */
+  /** Stops all watches. */
   stop(): void {
     this.#watches.forEach(watch => {
       watch.stop();
@@ -190,7 +191,7 @@
   }
 }
 
-/** Reads everything from one place, for a host without peers. */
+/** Always chooses the same reader, for a host without peers. */
 export function onlyReader(reader: KindReader): ReaderChoice {
   return {
     choose: () => reader,
--- a/packages/entry/src/store/kind-cache.test.ts
+++ b/packages/entry/src/store/kind-cache.test.ts
@@ -35,7 +35,7 @@
     });
   });
 
-  it('says that history is gone rather than leave a change out', () => {
+  it('answers that the history has expired rather than omit a change', () => {
     const cache = new KindCache();
     cache.takeList({ objects: [], revision: 1 });
     for (let revision = 2; revision < 400; revision++) {
--- a/packages/entry/src/store/kind-cache.ts
+++ b/packages/entry/src/store/kind-cache.ts
@@ -1,38 +1,39 @@
 /**
- * All objects of one kind as of one revision of the store, with the latest changes, so that peers
- * can follow the kind here as they would at the store.
+ * Cache of all objects of one kind as of one revision of the store. It also keeps the latest changes, so that
+ * peers can follow the kind at this host as they would at the store.
  */
 import type { Revision } from '@hingescale/core';
 
 import type { KindAnswer } from './kind-reader.js';
 import type { ObjectChange, ObjectList, StoredObject } from './object-store.js';
 
-/** Answers whose changes are kept. */
+/** Number of answers whose changes are kept. */
 const MAX_BATCHES = 256;
 
+/** Changes of one answer, and the revision of the store that they lead to. */
 type Batch = { readonly revision: number; readonly changes: readonly ObjectChange[] };
 
-/** The objects of a kind. */
+/** The objects of a kind at one revision, with a bounded history of changes. */
 export class KindCache {
   readonly #objects = new Map<string, StoredObject>();
-  readonly #waiting = new Set<() => void>();
+  readonly #waiters = new Set<() => void>();
   #batches: Batch[] = [];
-  /** Changes after this revision are all in the batches. */
+  /** The batches contain every change after this revision. */
   #historyFrom = 0;
   #revision: number | undefined;
   #confirmedAt = -Infinity;
 
-  /** Revision of the store that the objects stand for; undefined before the first list. */
+  /** Revision of the store that the cached objects represent; undefined before the first list. */
   get revision(): number | undefined {
     return this.#revision;
   }
 
-  /** The objects by name. */
+  /** The cached objects by name. */
   get objects(): ReadonlyMap<string, StoredObject> {
     return this.#objects;
   }
 
-  /** Objects that were removed in the changes that are kept, with the revision of their removal. */
+  /** Objects that were removed in the kept changes, by name, with the revision of their removal. */
   get removed(): ReadonlyMap<string, Revision> {
     const removed = new Map<string, Revision>();
     for (const { object, deleted } of this.#batches.flatMap(batch => batch.changes)) {
@@ -45,17 +46,17 @@
     return removed;
   }
 
-  /** When the store was last asked a question that confirmed the objects, in milliseconds that count suspensions. */
+  /** When the last query that confirmed the objects was sent, in milliseconds of a clock that counts suspensions. */
   get confirmedAt(): number {
     return this.#confirmedAt;
   }
 
-  /** Takes a confirmation; earlier ones than those known change nothing. */
+  /** Records a confirmation; one that is earlier than the last changes nothing. */
   confirm(askedAt: number): void {
     this.#confirmedAt = Math.max(this.#confirmedAt, askedAt);
   }
 
-  /** Takes a whole list; false when it is older than what is known. */
+  /** Replaces all objects by a whole list; false, without effect, when the list is older than the cache. */
   takeList(list: ObjectList): boolean {
     if (this.#revision !== undefined && list.revision < this.#revision) {
       return false;
@@ -71,7 +72,7 @@
     return true;
   }
 
-  /** Takes the changes up to a revision; false when they are older than what is known. */
+  /** Applies the changes up to a revision; false, without effect, when they are older than the cache. */
   takeChanges(changes: readonly ObjectChange[], revision: number): boolean {
     if (this.#revision === undefined || revision < this.#revision) {
       return false;
@@ -92,7 +93,7 @@
     return true;
   }
 
-  /** What somebody who knows `revision` lacks. */
+  /** The changes after `revision`, or the list without one; undefined before the first list. */
   answerSince(revision: number | undefined): KindAnswer | undefined {
     if (this.#revision === undefined) {
       return undefined;
@@ -104,23 +105,23 @@
     if (revision < this.#historyFrom) {
       return { kind: 'expired' };
     }
-    // Only the newest change of each object is passed on.
+    // Only the newest change of each object is returned.
     const newest = new Map<string, ObjectChange>();
     for (const batch of this.#batches) {
       if (batch.revision > revision) {
         batch.changes.forEach(change => newest.set(change.object.name, change));
       }
     }
-    const reached = Math.max(revision, this.#revision);
-    return { kind: 'changes', changes: [...newest.values()], revision: reached };
+    const reachedRevision = Math.max(revision, this.#revision);
+    return { kind: 'changes', changes: [...newest.values()], revision: reachedRevision };
   }
 
-  /** Resolves when there is a list, or after `waitMs`. */
+  /** Resolves when there is a list, or after `waitMs` milliseconds. */
   waitForList(waitMs: number): Promise<void> {
     return this.#revision === undefined ? this.#wait(waitMs) : Promise.resolve();
   }
 
-  /** Resolves when there are changes after `revision`, or after `waitMs`. */
+  /** Resolves when there are changes after `revision`, or after `waitMs` milliseconds. */
   waitBeyond(revision: number, waitMs: number): Promise<void> {
     const last = this.#batches.at(-1);
     if (revision < this.#historyFrom || (last !== undefined && last.revision > revision)) {
@@ -133,18 +134,18 @@
     return new Promise(resolve => {
       const done = (): void => {
         clearTimeout(timer);
-        this.#waiting.delete(done);
+        this.#waiters.delete(done);
         resolve();
       };
       const timer = setTimeout(done, waitMs);
-      this.#waiting.add(done);
+      this.#waiters.add(done);
     });
   }
 
-  /** Answers all that wait for changes, since there is something else to tell them. */
+  /** Ends all waits at once, so that peers receive information other than changes without delay. */
   wakeAll(): void {
-    [...this.#waiting].forEach(wake => {
-      wake();
+    [...this.#waiters].forEach(resolveWait => {
+      resolveWait();
     });
   }
 
--- a/packages/entry/src/store/kind-observers.ts
+++ b/packages/entry/src/store/kind-observers.ts
@@ -1,6 +1,6 @@
 /**
- * Feeds what watches bring to the configuration's holder and to the registry of hosts; tells what is known of
- * both.
+ * Observers that pass objects from the store on to the configuration holder and the host registry, and the age
+ * of both at the time of a send.
  */
 import type { ConfigurationHolder } from '../configuration/configuration-holder.js';
 import type { HostRegistry } from '../hosts/host-registry.js';
@@ -9,19 +9,19 @@
 import { OBJECT_KINDS } from './object-store.js';
 import type { KindObserver } from './watched-kind.js';
 
-/** Feeds the configuration; `applied` follows each answer that may have changed it. */
+/** Passes the configuration on to its holder; `onApplied` is called after each answer that may have changed it. */
 export function configurationObserver(
   holder: ConfigurationHolder,
-  applied: () => void,
+  onApplied: () => void,
 ): KindObserver {
   return {
     listed: list => {
       holder.takeList(list);
-      applied();
+      onApplied();
     },
     changed: changes => {
       holder.takeChanges(changes);
-      applied();
+      onApplied();
     },
     confirmed: askedAt => {
       holder.confirm(askedAt);
@@ -30,12 +30,12 @@
   };
 }
 
-/** Feeds the hosts; `known` follows each whole list. */
-export function hostsObserver(registry: HostRegistry, known: () => void): KindObserver {
+/** Passes the hosts on to the registry; `onListed` is called after each whole list. */
+export function hostsObserver(registry: HostRegistry, onListed: () => void): KindObserver {
   return {
     listed: list => {
       registry.takeList(list);
-      known();
+      onListed();
     },
     changed: changes => {
       registry.takeChanges(changes);
@@ -45,7 +45,7 @@
   };
 }
 
-/** What is known of configuration and hosts at the moment of a send. */
+/** Version and age of the known configuration, and age of the known hosts, at the time of a send. */
 export function knowledgeOf(holder: ConfigurationHolder, kinds: FollowedKinds): KnowledgeAtSend {
   return {
     version: holder.table?.version,
--- a/packages/entry/src/store/kind-reader.ts
+++ b/packages/entry/src/store/kind-reader.ts
@@ -1,42 +1,42 @@
-/** Reading the objects of a kind, from the store itself or from a peer that follows it. */
+/** Readers of the objects of a kind: the store itself, or a peer that follows the store. */
 import { eraOf } from '@hingescale/core';
 
 import { elapsedMs } from '../server/elapsed-time.js';
 import type { ObjectChange, ObjectKind, ObjectList, ObjectStore } from './object-store.js';
 
-/** What a reading brings. */
+/** Answer to a read: the whole list, or the changes since a revision. */
 export type KindAnswer =
   | { readonly kind: 'list'; readonly list: ObjectList }
   | {
       readonly kind: 'changes';
       readonly changes: readonly ObjectChange[];
-      /** Revision of the store up to which the changes are whole. */
+      /** Revision of the store up to which the changes are complete. */
       readonly revision: number;
     }
-  /** The changes since the revision are not known any more. */
+  /** The reader no longer keeps the changes since the requested revision. */
   | { readonly kind: 'expired' };
 
-/** An answer with the time for which it holds. */
+/** An answer, and the time as of which it is confirmed. */
 export type KindReading = {
   readonly answer: KindAnswer;
-  /** The store was asked at this moment or later, in this process's milliseconds that count suspensions. */
+  /** The store was queried at this time or later: this process's `elapsedMs`, which counts suspensions. */
   readonly confirmedAt: number;
-  /** False when whoever answered has lost the store itself. */
+  /** False when the peer that answered has no connection to the store. */
   readonly inTouch: boolean;
 };
 
-/** How much of a kind is followed: all of it, or what routing needs (see `routing-view.ts`). */
+/** Part of a kind that is followed: all objects, or those that routing needs (see `routing-view.ts`). */
 export type KindView = 'full' | 'routing';
 
-/** A place to read kinds from. */
+/** A source of objects: the store or a peer. */
 export type KindReader = {
-  /** For logs. */
+  /** Name for log lines. */
   readonly name: string;
-  /** False where every answer is of the full view. */
+  /** False if every answer covers the full view. */
   readonly hasViews: boolean;
   /**
-   * Gives the whole list when `revision` is undefined, else waits up to `waitMs` for changes after
-   * it. Rejects when there is no answer.
+   * Returns the whole list when `revision` is undefined, else waits up to `waitMs` milliseconds for changes
+   * after it. Rejects when there is no answer.
    */
   readonly read: (
     kind: ObjectKind,
@@ -46,10 +46,10 @@
   ) => Promise<KindReading>;
 };
 
-/** Name of the reader that asks the store itself. */
+/** Name of the reader that queries the store itself. */
 export const STORE_READER_NAME = 'store';
 
-/** Reads from the store itself: what it answers holds for when it was asked. */
+/** Reads from the store itself; an answer is confirmed as of the time when the query was sent. */
 export function storeReader(store: ObjectStore): KindReader {
   return {
     name: STORE_READER_NAME,
@@ -61,9 +61,9 @@
         return { answer: { kind: 'list', list }, confirmedAt, inTouch: true };
       }
       const answer = await store.watch(kind, revision, waitMs);
-      // Changes of a later era don't say what became different from the copy on.
-      const goesOn = answer.kind === 'changes' && eraOf(answer.revision) === eraOf(revision);
-      return { answer: goesOn ? answer : { kind: 'expired' }, confirmedAt, inTouch: true };
+      // Changes of a later era do not include what the restore from an older copy changed, so a list is needed.
+      const isSameEra = answer.kind === 'changes' && eraOf(answer.revision) === eraOf(revision);
+      return { answer: isSameEra ? answer : { kind: 'expired' }, confirmedAt, inTouch: true };
     },
   };
 }
--- a/packages/entry/src/store/object-store.ts
+++ b/packages/entry/src/store/object-store.ts
@@ -1,41 +1,40 @@
-/** The object store as the product needs it; the adapter of a platform implements it. */
+/** Interface of the object store that the entry hosts share; the adapter of each platform implements it. */
 
-/** Kinds of objects that the entry hosts use. */
+/** Kinds of objects that the entry hosts keep in the store. */
 export const OBJECT_KINDS = {
   configuration: 'configuration',
   hosts: 'hosts',
   leases: 'leases',
-  /** The entry hosts themselves. */
+  /** The entry hosts, one object each. */
   members: 'members',
-  /** Failure domains that operators have evacuated, by their names. */
+  /** Failure domains that operators have evacuated; the object's name is that of the domain. */
   evacuations: 'evacuations',
-  /** Requests that crash hosts, by their fingerprints. */
+  /** Requests that crash hosts; the object's name is the fingerprint of the request. */
   quarantine: 'quarantine',
 } as const;
-/** One of the kinds. */
 export type ObjectKind = (typeof OBJECT_KINDS)[keyof typeof OBJECT_KINDS];
 
-/** An object with the store's revision of its last change. */
+/** An object as stored, with the store's revision at its last change. */
 export type StoredObject = {
   readonly name: string;
   readonly revision: number;
   readonly value: unknown;
 };
 
-/** All objects of a kind. */
+/** All objects of a kind as of one revision of the store. */
 export type ObjectList = {
   readonly objects: readonly StoredObject[];
-  /** Revision to watch from. */
+  /** Revision of the store from which a watch continues the list. */
   readonly revision: number;
 };
 
-/** One change of an object. */
+/** One write or removal of an object. */
 export type ObjectChange = {
   readonly object: StoredObject;
   readonly deleted: boolean;
 };
 
-/** Answer of a watch; `expired` when the store no longer has that history. */
+/** Answer of a watch; `expired` when the store no longer keeps the changes since the requested revision. */
 export type WatchAnswer =
   | {
       readonly kind: 'changes';
@@ -44,21 +43,21 @@
     }
   | { readonly kind: 'expired' };
 
-/** Outcome of a conditional write. */
+/** Outcome of a conditional write; a conflict comes with the present object, if there is one. */
 export type WriteAnswer =
   | { readonly kind: 'written'; readonly object: StoredObject }
   | { readonly kind: 'conflict'; readonly object: StoredObject | undefined };
 
-/** Why a call to the store brought nothing. */
+/** Why a call to the store failed. */
 export type StoreFailure =
-  /** The store did nothing and said so. */
+  /** The store answered that it did not carry out the call. */
   | 'refused'
-  /** No answer: a write may have been done, or may be done later. */
+  /** No answer arrived: a write may have been carried out, or may still be. */
   | 'unanswered'
-  /** The answer could not be read. */
+  /** The answer could not be parsed. */
   | 'unreadable';
 
-/** A call to the store that failed. */
+/** Error of a failed call to the store. */
 export class StoreError extends Error {
   readonly reason: StoreFailure;
 
@@ -69,26 +68,26 @@
   }
 }
 
-/** Calls to the store; all reject with {@link StoreError}. */
+/** Client of the store; all calls reject with {@link StoreError}. */
 export type ObjectStore = {
   readonly list: (kind: ObjectKind) => Promise<ObjectList>;
-  /** Reads one object; what `mayBeStale` brings may be seconds old, and costs little. */
+  /** Reads one object. With `mayBeStale` the read is cheap, but its result may be seconds old. */
   readonly read: (
     kind: ObjectKind,
     name: string,
     mayBeStale: boolean,
   ) => Promise<StoredObject | undefined>;
-  /** Waits up to `waitMs` for changes after a revision. */
+  /** Waits up to `waitMs` milliseconds for changes after a revision. */
   readonly watch: (kind: ObjectKind, revision: number, waitMs: number) => Promise<WatchAnswer>;
   readonly create: (kind: ObjectKind, name: string, value: unknown) => Promise<WriteAnswer>;
-  /** Replaces an object if it still has the revision. */
+  /** Replaces an object if its revision is still the given one. */
   readonly replace: (
     kind: ObjectKind,
     name: string,
     value: unknown,
     revision: number,
   ) => Promise<WriteAnswer>;
-  /** Removes an object if it still has the revision; true when it is not there any more. */
+  /** Removes an object if its revision is still the given one; true when the object no longer exists. */
   readonly remove: (kind: ObjectKind, name: string, revision: number) => Promise<boolean>;
   readonly close: () => void;
 };
--- a/packages/entry/src/store/restored-list.test.ts
+++ b/packages/entry/src/store/restored-list.test.ts
@@ -1,4 +1,4 @@
-/** Which of two states of an object stands once the store has come back from an older copy. */
+/** Tests which of two states of an object takes precedence after a restore of the store from an older copy. */
 import { revisionIn } from '@hingescale/core';
 import { expect } from 'chai';
 
@@ -6,8 +6,8 @@
 import type { StateOrder } from './restored-list.js';
 import { latestList, restoredList } from './restored-list.js';
 
-const BEFORE = 1;
-const AFTER = 2;
+const ERA_BEFORE = 1;
+const ERA_AFTER = 2;
 const NOTHING_REMOVED: ReadonlyMap<string, number> = new Map();
 
 const byRevision: StateOrder = () => undefined;
@@ -18,13 +18,13 @@
 }
 
 function listOf(...objects: readonly StoredObject[]): ObjectList {
-  return { objects, revision: revisionIn(AFTER, 50) };
+  return { objects, revision: revisionIn(ERA_AFTER, 50) };
 }
 
 describe('a list from an older copy', () => {
-  it('gives way to what is known under a higher number, or not in it', () => {
-    const known = [object('changed', BEFORE, 60), object('new', BEFORE, 61)];
-    const list = listOf(object('changed', AFTER, 40));
+  it('is superseded by known objects with a higher number, or missing from the list', () => {
+    const known = [object('changed', ERA_BEFORE, 60), object('new', ERA_BEFORE, 61)];
+    const list = listOf(object('changed', ERA_AFTER, 40));
     const { objects } = restoredList(
       list,
       { objects: known, removed: NOTHING_REMOVED },
@@ -33,26 +33,26 @@
     expect(objects).to.have.deep.members(known);
   });
 
-  it('stands where it has the higher number, so that it was written since', () => {
-    const written = object('a', AFTER, 45);
-    const known = { objects: [object('a', BEFORE, 44)], removed: NOTHING_REMOVED };
+  it('takes precedence where its number is higher, since the object was written after the restore', () => {
+    const written = object('a', ERA_AFTER, 45);
+    const known = { objects: [object('a', ERA_BEFORE, 44)], removed: NOTHING_REMOVED };
     expect(restoredList(listOf(written), known, byRevision).objects).to.deep.equal([written]);
   });
 
-  it('does not bring back what was removed after the copy', () => {
-    const removed = new Map([['a', revisionIn(BEFORE, 60)]]);
-    const list = listOf(object('a', AFTER, 40));
+  it('does not restore objects that were removed after the copy', () => {
+    const removed = new Map([['a', revisionIn(ERA_BEFORE, 60)]]);
+    const list = listOf(object('a', ERA_AFTER, 40));
     expect(restoredList(list, { objects: [], removed }, byRevision).objects).to.have.length(0);
   });
 
-  it('stands against what was read from the store since', () => {
-    const known = { objects: [object('a', AFTER, 45)], removed: NOTHING_REMOVED };
+  it('takes precedence over objects read from the store since the restore', () => {
+    const known = { objects: [object('a', ERA_AFTER, 45)], removed: NOTHING_REMOVED };
     expect(restoredList(listOf(), known, byRevision).objects).to.have.length(0);
   });
 
-  it('leaves the order to the objects where they tell it, whatever their numbers', () => {
-    const later = object('a', AFTER, 10, 7);
-    const known = object('a', BEFORE, 60, 6);
+  it('follows the order of the objects themselves where they have one, whatever their numbers', () => {
+    const later = object('a', ERA_AFTER, 10, 7);
+    const known = object('a', ERA_BEFORE, 60, 6);
     const restored = restoredList(
       listOf(later),
       { objects: [known], removed: NOTHING_REMOVED },
@@ -64,8 +64,12 @@
 
 describe('a list', () => {
   it('does not replace an object by one that is older by its own order', () => {
-    const known = object('a', BEFORE, 60, 6);
-    const list = latestList(listOf(object('a', AFTER, 50, 5)), new Map([['a', known]]), byValue);
+    const known = object('a', ERA_BEFORE, 60, 6);
+    const list = latestList(
+      listOf(object('a', ERA_AFTER, 50, 5)),
+      new Map([['a', known]]),
+      byValue,
+    );
     expect(list.objects).to.deep.equal([known]);
   });
 });
--- a/packages/entry/src/store/routing-view.test.ts
+++ b/packages/entry/src/store/routing-view.test.ts
@@ -1,4 +1,4 @@
-/** The pattern: hundreds of entry hosts hear of thousands of model hosts, most of them no heads. */
+/** Covers fleets with hundreds of entry hosts and thousands of upstream hosts, most of which are not heads. */
 import { expect } from 'chai';
 
 import { KindCache } from './kind-cache.js';
@@ -33,37 +33,37 @@
     });
   });
 
-  it('passes changes of other hosts over, but moves the revision on', () => {
+  it('omits changes of other hosts, but advances the revision', () => {
     cache.takeChanges([put('m1', 4), put('m2', 5)], 5);
     expect(view.answerSince(3)).to.deep.equal({ kind: 'changes', changes: [], revision: 5 });
   });
 
-  it('tells of a host that becomes a head, and when it is none any more', () => {
+  it('reports a host that becomes a head, and its removal when it no longer is one', () => {
     view.answerSince(undefined);
     heads.add('m1');
     cache.takeChanges([put('m1', 4)], 4);
     expect(view.answerSince(3)).to.deep.include({ changes: [put('m1', 4)] });
     heads.delete('m1');
     cache.takeChanges([put('m1', 5)], 5);
-    const gone = { object: { name: 'm1', revision: 5, value: null }, deleted: true };
-    expect(view.answerSince(4)).to.deep.include({ changes: [gone] });
+    const removal = { object: { name: 'm1', revision: 5, value: null }, deleted: true };
+    expect(view.answerSince(4)).to.deep.include({ changes: [removal] });
   });
 
-  it('tells of a host that was routable when this process began to answer', () => {
+  it('reports the removal of a host that was routable when this process started', () => {
     heads.delete('h1');
     cache.takeChanges([put('h1', 4)], 4);
     const answer = view.answerSince(3);
     expect(answer?.kind === 'changes' && answer.changes[0]?.deleted).to.equal(true);
   });
 
-  it('tells of hosts that are gone', () => {
+  it('reports hosts that were removed', () => {
     view.answerSince(undefined);
     cache.takeChanges([{ object: object('h1', 4), deleted: true }], 4);
     const answer = view.answerSince(3);
     expect(answer?.kind === 'changes' && answer.changes[0]?.deleted).to.equal(true);
   });
 
-  it('makes each answer once, however many ask', () => {
+  it('computes each answer once for any number of reads', () => {
     expect(view.answerSince(undefined)).to.equal(view.answerSince(undefined));
   });
 });
--- a/packages/entry/src/store/watched-kind.test.ts
+++ b/packages/entry/src/store/watched-kind.test.ts
@@ -49,7 +49,7 @@
 }
 
 describe('watched kind', () => {
-  it('asks again within half a second, however long the store has been away', async () => {
+  it('retries within half a second, however long the store has been unavailable', async () => {
     let calls = 0;
     const list = (): Promise<never> => {
       calls += 1;
@@ -64,7 +64,7 @@
     expect(calls - before).to.be.at.least(5);
   }).timeout(10_000);
 
-  it('lists anew from another peer, which does not know what the first one has told', async () => {
+  it('lists again from another peer, which does not know what the first one sent', async () => {
     const asked: string[] = [];
     const readerOf = (name: string): KindReader => ({
       name,
@@ -99,7 +99,7 @@
     expect([...new Set(asked)]).to.deep.equal(['first list', 'first 7', 'second list', 'second 7']);
   });
 
-  it('has its first list from where it is told, and goes on with whom is chosen', async () => {
+  it('reads its first list from the first reader, and continues with the chosen one', async () => {
     const asked: string[] = [];
     const readerOf = (name: string): KindReader => ({
       name,
@@ -127,7 +127,7 @@
     expect([...new Set(asked)]).to.deep.equal(['first list', 'peer 7']);
   });
 
-  it('lists anew when it needs another view, and goes on from there', async () => {
+  it('lists again when it needs another view, and watches from there', async () => {
     const asked: string[] = [];
     const peer: KindReader = {
       name: 'peer',
@@ -158,7 +158,7 @@
     expect(watch.view).to.equal('full');
   });
 
-  it('goes to another reader at once when one is stale', async () => {
+  it('switches to another reader at once when one is stale', async () => {
     const answer: WatchAnswer = { kind: 'changes', changes: [], revision: 2 };
     const store = storeReader(storeOf({ watch: () => wait(5).then(() => answer) }));
     const stale = { answer: { kind: 'list' as const, list: { objects: [], revision: 1 } } };
@@ -185,7 +185,7 @@
     expect(watch.inTouch).to.equal(true);
   });
 
-  it('lists anew when the history is gone, and goes on from there', async () => {
+  it('lists again when the history has expired, and watches from there', async () => {
     const asked: number[] = [];
     let lists = 0;
     const list = (): ReturnType<ObjectStore['list']> => {
@@ -207,7 +207,7 @@
     expect(asked.slice(0, 3)).to.deep.equal([10, 20, 21]);
   });
 
-  it('confirms by when the question was sent, not by when it was answered', async () => {
+  it('confirms as of when the query was sent, not when it was answered', async () => {
     const confirmed: number[] = [];
     const list = async (): ReturnType<ObjectStore['list']> => {
       await wait(80);
--- a/packages/entry/src/store/watched-kind.ts
+++ b/packages/entry/src/store/watched-kind.ts
@@ -1,8 +1,9 @@
 /**
- * Follows all objects of a kind: lists them, then watches, and lists anew when history is gone.
+ * Follows all objects of a kind: lists them, then watches for changes, and lists again when the reader no longer
+ * keeps the changes since the last revision.
  *
- * What was read is kept in a cache that only moves forward, whichever reader it came from, so
- * that readers can be changed at any time.
+ * The objects are kept in a cache whose revision only rises, whichever reader they came from, so that the reader
+ * can be changed at any time.
  */
 import type { Revision } from '@hingescale/core';
 import { eraOf } from '@hingescale/core';
@@ -17,58 +18,58 @@
 import type { StateOrder } from './restored-list.js';
 import { isSuperseded, latestList, restoredList } from './restored-list.js';
 
-/** Receives what a watch brings. */
+/** Receives the lists, changes and confirmations of a watch. */
 export type KindObserver = {
   /**
-   * The whole list; objects not in it are gone. One of an earlier era than the list is not in the store any more,
-   * which has come back from an older copy, and holds until it is written again.
+   * Receives the whole list; objects that are not in it have been removed. An object of an earlier era than the
+   * list is missing from the store since its restore from an older copy; it stays valid until it is written again.
    */
   readonly listed: (list: ObjectList) => void;
-  /** The changes of one answer, in the order in which they were made; never empty. */
+  /** Receives the changes of one answer, in the order in which they were made; never empty. */
   readonly changed: (changes: readonly ObjectChange[]) => void;
-  /** The store answered; the question was sent at `askedAt` (milliseconds that count suspensions) or later. */
+  /** The store answered a query sent at `askedAt` (milliseconds of a clock that counts suspensions) or later. */
   readonly confirmed: (askedAt: number) => void;
-  /** Which of two states of an object is later, where the objects tell it themselves. */
+  /** Which of two states of an object is later, if the objects themselves determine it. */
   readonly isLater?: StateOrder;
 };
 
-/** How a reading ended: `stale` when what it brought was confirmed too long ago. */
+/** Outcome of a read: `stale` when its answer was confirmed too long ago. */
 export type ReadingOutcome = 'fresh' | 'stale' | 'failed';
 
-/** Chooses the reader of each step, and learns how it went. */
+/** Chooses the reader of each step, and records the outcome of its reads. */
 export type ReaderChoice = {
   /**
-   * A reader other than one that has just failed, as long as any other is usable. For an urgent kind it is
-   * the store itself once some peers in a row have failed.
+   * Returns a reader other than one that has just failed, as long as any other is usable. For an urgent kind it
+   * is the store itself once several peers in a row have failed.
    */
   readonly choose: (isUrgent?: boolean) => KindReader;
-  /** The reader that `choose` would give, without the effects of choosing it. */
+  /** The reader that `choose` would return, without the side effects of choosing it. */
   readonly peek: (isUrgent?: boolean) => KindReader;
   readonly note: (reader: KindReader, outcome: ReadingOutcome) => void;
-  /** Milliseconds until some reader is worth asking; 0 when one is. */
+  /** Milliseconds until some reader is usable; 0 when one is. */
   readonly usableInMs: () => number;
 };
 
-/** Settings of a watch. */
+/** Options of {@link WatchedKind}. */
 export type WatchOptions = {
   readonly readers: ReaderChoice;
   readonly kind: ObjectKind;
-  /** Whom the first list comes from; undefined, or none: whom `readers` chooses. */
+  /** Reader of the first list; where absent or undefined, `readers` chooses it. */
   readonly firstReader?: () => KindReader | undefined;
-  /** How much of the kind this host needs; all of it where nothing is said. */
+  /** Part of the kind that this host needs; all of it by default. */
   readonly view?: () => KindView;
-  /** True where changes have to arrive sooner than several failing readers in a row would allow. */
+  /** True if changes have to arrive sooner than several failing readers in a row would allow. */
   readonly isUrgent?: boolean;
   /** Longest wait of one call, in milliseconds. */
   readonly waitMs: () => number;
   /** Age of a confirmation from which a reader counts as stale, in milliseconds. */
   readonly staleMs: number;
-  /** Pause after each answer that brought changes, so that bursts cost few calls. */
+  /** Pause after each answer with changes, in milliseconds, so that bursts cost few calls. */
   readonly pauseMs: () => number;
   readonly observer: KindObserver;
   /**
-   * For how long what is known stands against an older copy of the store; {@link RESTORE_MS} where nothing is
-   * said.
+   * How long known objects take precedence over a store restored from an older copy, in milliseconds;
+   * {@link RESTORE_MS} by default.
    */
   readonly restoreMs?: number;
   readonly log: Log;
@@ -77,25 +78,27 @@
   readonly random?: () => number;
 };
 
+/** Step by which the backoff rises with each failure in a row, in milliseconds. */
 const RETRY_MS = 150;
 /**
- * Wait for a first list, in milliseconds: a peer that has just started as well has one soon, while
- * whoever goes elsewhere meanwhile asks those who have even more to do.
+ * Wait for a first list, in milliseconds: a peer that has also just started will have one soon, while switching
+ * to another reader would add load to peers that are busier still.
  */
 const LIST_WAIT_MS = 700;
-/** Short, since a host that has just started knows nothing until the store is back. */
+/** Longest backoff, in milliseconds: short, since a host that has just started has no objects without the store. */
 const MAX_RETRY_MS = 300;
 
 /**
- * Time after the store's return from an older copy in which operators and hosts have written theirs again, in
- * milliseconds: three heartbeats of a host, after which the entries of those that are gone go too.
+ * Time within which operators and hosts write their objects again after a restore of the store from an older copy,
+ * in milliseconds: three heartbeats of a host. After it the entries of hosts that no longer exist are removed.
  */
 export const RESTORE_MS = 4_000;
+/** Leaves the order of two states to their revisions. */
 const BY_REVISION: StateOrder = () => undefined;
 
-/** A running watch. */
+/** Follows one kind through changing readers, and keeps its objects in a cache. */
 export class WatchedKind {
-  /** What is known of the kind. */
+  /** The objects of the kind as last read. */
   readonly cache = new KindCache();
   readonly #options: WatchOptions;
   readonly #abort = new AbortController();
@@ -103,14 +106,14 @@
   #failures = 0;
   #inTouchSince: number | undefined;
   #view: KindView = 'full';
-  /** Answers in a row that were older than what is known. */
+  /** Number of answers in a row that were older than the cache. */
   #olderAnswers = 0;
-  /** Until when what is known stands against an older copy; undefined: the store has all that is known. */
+  /** Until when known objects take precedence over a restored store; undefined when the store has all of them. */
   #restoresUntil: number | undefined;
-  /** What had been removed when the store came back from an older copy. */
-  #removedBefore: ReadonlyMap<string, Revision> = new Map();
+  /** Objects that had been removed before the store was restored from an older copy. */
+  #removedBeforeRestore: ReadonlyMap<string, Revision> = new Map();
   #isListedByPeer = false;
-  /** Whom the last answer came from. */
+  /** Reader of the last list that was applied. */
   #lastReader: KindReader | undefined;
 
   constructor(options: WatchOptions) {
@@ -120,7 +123,7 @@
   /** Runs until it is stopped. */
   async run(): Promise<void> {
     while (!this.#abort.signal.aborted) {
-      await this.#untilUsable();
+      await this.#waitUntilUsable();
       const reader = this.#nextReader();
       try {
         const changed = await this.#step(reader);
@@ -129,14 +132,14 @@
         }
       } catch (error) {
         this.#options.readers.note(reader, 'failed');
-        await this.#noteLost(reader, error as Error);
+        await this.#recordFailure(reader, error as Error);
       }
     }
   }
 
-  // Waits while no reader is worth asking. Kinds that wait for the same reader wake together, and the first
-  // one finds out for all whether it is back; otherwise each would call a store that is known to be down.
-  async #untilUsable(): Promise<void> {
+  // Waits while no reader is usable. Kinds that wait for the same reader wake together, and the first one finds
+  // out for all whether it answers again; otherwise each would call a store that is known to be down.
+  async #waitUntilUsable(): Promise<void> {
     const { readers } = this.#options;
     for (;;) {
       const usableInMs = readers.usableInMs();
@@ -154,22 +157,22 @@
     return first ?? readers.choose(this.#options.isUrgent);
   }
 
-  /** False from a failed reading until one that was fresh. */
+  /** True if the last read was fresh; false from a failed or stale read until the next fresh one. */
   get inTouch(): boolean {
     return this.#failures === 0 && this.cache.revision !== undefined;
   }
 
-  /** How much of the kind the cache holds. */
+  /** Part of the kind that the cache holds. */
   get view(): KindView {
     return this.#view;
   }
 
-  /** For how long readings have been fresh without a failure, in milliseconds; undefined: they are not now. */
+  /** How long all reads have been fresh, in milliseconds; undefined if the last was not, or there was none. */
   get inTouchForMs(): number | undefined {
     return this.#inTouchSince === undefined ? undefined : elapsedMs() - this.#inTouchSince;
   }
 
-  /** Asks at once whether what is known still holds, beside a question that may be waiting for changes. */
+  /** Confirms the known objects by an immediate read, beside one that may be waiting for changes. */
   async confirmNow(): Promise<void> {
     const { kind, readers, isUrgent } = this.#options;
     const reader = readers.peek(isUrgent);
@@ -179,14 +182,18 @@
     }
     try {
       const reading = await reader.read(kind, revision, 0, this.#view);
-      this.#take(reading, this.#view, reader);
+      this.#apply(reading, this.#view, reader);
     } catch (error) {
-      // The next step of the watch meets the same, and deals with it.
-      this.#options.log.info('no confirmation', { kind, from: reader.name, cause: String(error) });
+      // The next step of the watch meets the same failure and handles it.
+      this.#options.log.info('immediate confirmation failed', {
+        kind,
+        from: reader.name,
+        cause: String(error),
+      });
     }
   }
 
-  /** Ends the watch. */
+  /** Stops the watch. */
   stop(): void {
     this.#abort.abort();
   }
@@ -197,34 +204,35 @@
       this.#expired = true;
     }
     const view = reader.hasViews ? (this.#options.view?.() ?? 'full') : 'full';
-    // Another peer does not know which routable hosts this one has heard of, so that it would not tell
-    // when one of them is none any more.
-    const isKnown = view === 'full' || reader === this.#lastReader;
-    const goesOn = !this.#expired && view === this.#view && isKnown && !this.#mayKnowMore(reader);
-    const revision = goesOn ? this.cache.revision : undefined;
-    // After a loss the first answer is wanted at once: it confirms what is known.
+    // Another peer does not know which routable hosts this host has received, so it would not report that one of
+    // them is no longer routable.
+    const readerKnowsView = view === 'full' || reader === this.#lastReader;
+    const continues =
+      !this.#expired && view === this.#view && readerKnowsView && !this.#needsListOfPeer(reader);
+    const revision = continues ? this.cache.revision : undefined;
+    // After a failure the first answer is needed at once, since it confirms the known objects.
     const wait = this.#failures > 0 ? 0 : revision === undefined ? LIST_WAIT_MS : waitMs();
     const reading = await reader.read(kind, revision, wait, view);
-    const changed = this.#take(reading, view, reader);
+    const changed = this.#apply(reading, view, reader);
     const age = elapsedMs() - reading.confirmedAt;
     const fresh = reading.inTouch && age < staleMs;
     readers.note(reader, fresh ? 'fresh' : 'stale');
     if (fresh) {
       this.#inTouchSince ??= elapsedMs();
-      this.#noteRegained(reader);
+      this.#recordFresh(reader);
     } else {
-      await this.#noteLost(reader, new Error(`confirmed ${Math.round(age)} ms ago`));
+      await this.#recordFailure(reader, new Error(`confirmed ${Math.round(age)} ms ago`));
     }
     return changed;
   }
 
-  // A process that has started since the store came back from an older copy may have read that copy, while peers
-  // know what was written later: one of them tells it all once.
-  #mayKnowMore(reader: KindReader): boolean {
+  // A process that started after the store was restored from an older copy may have read that copy, while peers
+  // know of later writes. So it reads the whole list from a peer once.
+  #needsListOfPeer(reader: KindReader): boolean {
     return this.#options.isUrgent === true && reader.hasViews && !this.#isListedByPeer;
   }
 
-  #take({ answer, confirmedAt }: KindReading, view: KindView, reader: KindReader): boolean {
+  #apply({ answer, confirmedAt }: KindReading, view: KindView, reader: KindReader): boolean {
     const { observer } = this.#options;
     if (answer.kind === 'expired') {
       this.#expired = true;
@@ -233,26 +241,26 @@
     let changed = false;
     if (answer.kind === 'list') {
       this.#expired = false;
-      const list = this.#latestOf(answer.list, reader);
+      const list = this.#mergeList(answer.list, reader);
       changed = this.cache.takeList(list);
       if (changed) {
         this.#view = view;
         this.#lastReader = reader;
         this.#isListedByPeer ||= reader.hasViews;
-        this.#tell(() => {
+        this.#notify(() => {
           observer.listed(list);
         });
       }
-      this.#noteAge(changed, answer.list.revision, reader);
-      // An older list than what is known was not taken; its sender needs a moment to catch up.
+      this.#countOlderAnswer(changed, answer.list.revision, reader);
+      // A list older than the cache was not applied. The pause after a change gives its sender time to catch up.
       changed = true;
     } else {
       const changes = answer.changes.filter(change => !this.#isSuperseded(change));
-      const isTaken = this.cache.takeChanges(changes, answer.revision);
-      this.#noteAge(isTaken, answer.revision, reader);
-      changed = isTaken && changes.length > 0;
+      const isApplied = this.cache.takeChanges(changes, answer.revision);
+      this.#countOlderAnswer(isApplied, answer.revision, reader);
+      changed = isApplied && changes.length > 0;
       if (changed) {
-        this.#tell(() => {
+        this.#notify(() => {
           observer.changed(changes);
         });
       }
@@ -261,21 +269,21 @@
     return changed;
   }
 
-  // An object may be written again in a state that is older than the known one, where a store has lost both.
+  // When a restored store has lost both states of an object, the older one may be written again.
   #isSuperseded({ object, deleted }: ObjectChange): boolean {
     const known = this.cache.objects.get(object.name);
     const { isLater = BY_REVISION } = this.#options.observer;
     return !deleted && known !== undefined && isSuperseded(object, known, isLater);
   }
 
-  #latestOf(list: ObjectList, reader: KindReader): ObjectList {
+  #mergeList(list: ObjectList, reader: KindReader): ObjectList {
     const { cache } = this;
     const { isLater = BY_REVISION } = this.#options.observer;
     if (cache.revision !== undefined && eraOf(list.revision) > eraOf(cache.revision)) {
       this.#beginRestoring(list, reader);
     }
     if (this.#isRestoring()) {
-      const known = { objects: cache.objects.values(), removed: this.#removedBefore };
+      const known = { objects: cache.objects.values(), removed: this.#removedBeforeRestore };
       return restoredList(list, known, isLater);
     }
     this.#endRestoring();
@@ -284,9 +292,9 @@
 
   #beginRestoring(list: ObjectList, reader: KindReader): void {
     const { restoreMs = RESTORE_MS } = this.#options;
-    this.#noteOlderCopy(list, reader);
+    this.#reportRestore(list, reader);
     this.#restoresUntil = elapsedMs() + restoreMs;
-    this.#removedBefore = new Map([...this.#removedBefore, ...this.cache.removed]);
+    this.#removedBeforeRestore = new Map([...this.#removedBeforeRestore, ...this.cache.removed]);
   }
 
   #isRestoring(): boolean {
@@ -295,10 +303,10 @@
 
   #endRestoring(): void {
     this.#restoresUntil = undefined;
-    this.#removedBefore = new Map();
+    this.#removedBeforeRestore = new Map();
   }
 
-  #noteOlderCopy(list: ObjectList, reader: KindReader): void {
+  #reportRestore(list: ObjectList, reader: KindReader): void {
     const { log, kind, counters } = this.#options;
     counters?.count('older_copies_total', { kind });
     log.warn('store came back from an older copy', {
@@ -308,13 +316,13 @@
       listed: list.objects.length,
       known: this.cache.objects.size,
     });
-    // Nobody may be taken for gone because of it, as after an outage.
+    // As after an outage, the restore must not cause any host to be treated as removed.
     this.#inTouchSince = undefined;
   }
 
-  #noteAge(isTaken: boolean, revision: number, reader: KindReader): void {
+  #countOlderAnswer(isApplied: boolean, revision: number, reader: KindReader): void {
     const { log, kind, counters } = this.#options;
-    if (isTaken) {
+    if (isApplied) {
       this.#olderAnswers = 0;
       return;
     }
@@ -326,18 +334,18 @@
     }
   }
 
-  // What this host can not deal with is not the reader's failure: any other reader would bring the same, and
-  // one after the other would be avoided.
-  #tell(call: () => void): void {
+  // An error of the observer is not a failure of the reader: any other reader would return the same objects, and
+  // all readers would be avoided in turn.
+  #notify(call: () => void): void {
     try {
       call();
     } catch (error) {
       const { log, kind } = this.#options;
-      log.error('objects not taken over', { kind, cause: String((error as Error).stack) });
+      log.error('observer failed on objects', { kind, cause: String((error as Error).stack) });
     }
   }
 
-  // An answer for an older revision than what is known confirms nothing newer.
+  // An answer at an older revision than the cache does not confirm the cached objects.
   #confirm(revision: number, confirmedAt: number): void {
     if (revision >= (this.cache.revision ?? 0)) {
       this.cache.confirm(confirmedAt);
@@ -345,7 +353,7 @@
     }
   }
 
-  #noteRegained(reader: KindReader): void {
+  #recordFresh(reader: KindReader): void {
     if (this.#failures > 0) {
       const { log, kind } = this.#options;
       log.info('dependency regained', {
@@ -357,7 +365,7 @@
     }
   }
 
-  async #noteLost(reader: KindReader, error: Error): Promise<void> {
+  async #recordFailure(reader: KindReader, error: Error): Promise<void> {
     const { log, kind, readers, random = Math.random } = this.#options;
     this.#failures += 1;
     this.#inTouchSince = undefined;
@@ -368,13 +376,14 @@
         cause: error.message,
       });
     }
-    // A reader that has failed is avoided for a while, so others are tried without a pause. A pause
-    // here made changes take up to 2.4 s through two hosts that try each other in turn, 0.3 s without
+    // A reader that has failed is avoided for a while, so another one is tried without a pause. With a pause here
+    // changes took up to 2.4 s through two hosts that read from each other in turn, without it 0.3 s
     // (24 changes each).
     const usableInMs = readers.usableInMs();
     if (usableInMs <= 0 && readers.peek(this.#options.isUrgent) !== reader) {
       return;
     }
+    // The backoff is spread over 50 to 150 %, so that many hosts do not retry at the same time.
     const backoff = Math.min(RETRY_MS * this.#failures, MAX_RETRY_MS);
     await sleep(Math.max(usableInMs, backoff * (0.5 + random())), this.#abort.signal);
   }
