--- a/packages/core/src/configuration/configuration.ts
+++ b/packages/core/src/configuration/configuration.ts
@@ -1,4 +1,4 @@
-/** Reads a configuration from its INI files and reports all findings together. */
+/** Parses and validates a configuration from its INI files, and reports all findings together. */
 import { Result } from 'true-myth';
 import type { z } from 'zod';
 
@@ -19,13 +19,13 @@
   workspaceSchema,
 } from './objects.js';
 
-/** One file of a configuration. */
+/** Name and text of one INI file of a configuration. */
 export type ConfigurationFile = {
   readonly name: string;
   readonly text: string;
 };
 
-/** Largest file in bytes; the platform holds values up to a megabyte. */
+/** Maximum size of a file in bytes; the platform stores values of up to a megabyte. */
 export const MAX_FILE_BYTES = 900_000;
 
 type ObjectKind = {
@@ -43,27 +43,28 @@
   ['service-level', { collection: 'serviceLevels', schema: serviceLevelSchema }],
 ]);
 
-/** An object with the document that declares it, for checks across objects. */
-type Declared = { readonly document: IniDocument; readonly section: string };
+/** Document and section that declare an object, for findings of checks across objects. */
+type Declaration = { readonly document: IniDocument; readonly section: string };
 
-type Reading = {
+/** State of one parse: the objects read so far, where they are declared, and the findings. */
+type ParseState = {
   readonly collections: Record<ObjectKind['collection'], Map<string, unknown>>;
-  readonly declared: Map<unknown, Declared>;
+  readonly declarations: Map<unknown, Declaration>;
   readonly findings: Finding[];
   deployment: Configuration['deployment'] | undefined;
 };
 
-/** Reads and checks all files; gives the configuration or every finding in them. */
+/** Parses and validates all files; returns the configuration, or every finding in them. */
 export function readConfiguration(
   files: readonly ConfigurationFile[],
 ): Result<Configuration, Finding[]> {
-  const reading = startReading();
+  const state = createParseState();
   for (const file of files) {
-    readFile(file, reading);
+    readFile(file, state);
   }
-  if (reading.deployment === undefined && reading.findings.length === 0) {
+  if (state.deployment === undefined && state.findings.length === 0) {
     const file = files[0]?.name ?? 'configuration';
-    reading.findings.push({
+    state.findings.push({
       file,
       section: 'deployment',
       line: 0,
@@ -71,18 +72,18 @@
     });
   }
   const configuration = {
-    ...reading.collections,
-    deployment: reading.deployment,
+    ...state.collections,
+    deployment: state.deployment,
   } as unknown as Configuration;
-  checkReferences(configuration, reading);
-  checkPolicies(configuration, reading);
-  if (reading.findings.length > 0) {
-    return Result.err(sortFindings(reading.findings));
+  checkReferences(configuration, state);
+  checkPolicies(configuration, state);
+  if (state.findings.length > 0) {
+    return Result.err(sortFindings(state.findings));
   }
   return Result.ok(configuration);
 }
 
-function startReading(): Reading {
+function createParseState(): ParseState {
   return {
     collections: {
       models: new Map(),
@@ -93,29 +94,29 @@
       policies: new Map(),
       serviceLevels: new Map(),
     },
-    declared: new Map(),
+    declarations: new Map(),
     findings: [],
     deployment: undefined,
   };
 }
 
-function readFile(file: ConfigurationFile, reading: Reading): void {
+function readFile(file: ConfigurationFile, state: ParseState): void {
   if (Buffer.byteLength(file.text) > MAX_FILE_BYTES) {
     const message = `file is larger than ${MAX_FILE_BYTES} bytes; split it`;
-    reading.findings.push({ file: file.name, section: '', line: 0, message });
+    state.findings.push({ file: file.name, section: '', line: 0, message });
     return;
   }
   const document = parseIni(file.name, file.text);
-  reading.findings.push(...document.findings);
+  state.findings.push(...document.findings);
   for (const section of document.sections.keys()) {
-    readSection(document, section, reading);
+    readSection(document, section, state);
   }
 }
 
-function readSection(document: IniDocument, section: string, reading: Reading): void {
+function readSection(document: IniDocument, section: string, state: ParseState): void {
   if (section === 'deployment') {
     const keys = Object.keys(deploymentSchema.shape);
-    reading.deployment = checkSection(document, section, deploymentSchema, keys, reading.findings);
+    state.deployment = checkSection(document, section, deploymentSchema, keys, state.findings);
     return;
   }
   const space = section.indexOf(' ');
@@ -123,30 +124,30 @@
   const name = space < 0 ? '' : section.slice(space + 1).trim();
   const kind = KINDS.get(kindName);
   if (kind === undefined) {
-    const known = ['deployment', ...KINDS.keys()];
-    const message = unknownName('kind of object', kindName, known);
-    reading.findings.push(findingAt(document, section, undefined, message));
+    const kindNames = ['deployment', ...KINDS.keys()];
+    const message = unknownName('kind of object', kindName, kindNames);
+    state.findings.push(findingAt(document, section, undefined, message));
     return;
   }
   if (!/^[\w.:-]+$/.test(name)) {
     const message = 'a name of letters, digits, ".", ":", "_" and "-" must follow the kind';
-    reading.findings.push(findingAt(document, section, undefined, message));
+    state.findings.push(findingAt(document, section, undefined, message));
     return;
   }
   const keys = Object.keys(kind.schema.shape);
-  const object = checkSection(document, section, kind.schema, keys, reading.findings);
-  const collection = reading.collections[kind.collection];
+  const object = checkSection(document, section, kind.schema, keys, state.findings);
+  const collection = state.collections[kind.collection];
   if (collection.has(name)) {
-    const message = `${kindName} ${name} is declared in another file too`;
-    reading.findings.push(findingAt(document, section, undefined, message));
+    const message = `${kindName} ${name} is also declared in another file`;
+    state.findings.push(findingAt(document, section, undefined, message));
   } else if (object !== undefined) {
     collection.set(name, object);
-    reading.declared.set(object, { document, section });
+    state.declarations.set(object, { document, section });
   }
 }
 
-function checkReferences(configuration: Configuration, reading: Reading): void {
-  const need = (
+function checkReferences(configuration: Configuration, state: ParseState): void {
+  const requireKnown = (
     owner: unknown,
     key: string,
     kind: string,
@@ -155,43 +156,43 @@
   ) => {
     const names = [...known];
     if (!names.includes(name)) {
-      addFinding(reading, owner, key, unknownName(kind, name, names));
+      addFinding(state, owner, key, unknownName(kind, name, names));
     }
   };
   const { models, adapters, services, upstreams } = configuration;
   for (const model of models.values()) {
-    need(model, 'upstream', 'upstream', model.upstream, upstreams.keys());
+    requireKnown(model, 'upstream', 'upstream', model.upstream, upstreams.keys());
     model.adapters.forEach(name => {
-      need(model, 'adapters', 'adapter', name, adapters.keys());
+      requireKnown(model, 'adapters', 'adapter', name, adapters.keys());
     });
   }
   for (const adapter of adapters.values()) {
-    need(adapter, 'model', 'model', adapter.model, models.keys());
+    requireKnown(adapter, 'model', 'model', adapter.model, models.keys());
   }
   for (const level of configuration.serviceLevels.values()) {
-    need(level, 'model', 'model', level.model, models.keys());
+    requireKnown(level, 'model', 'model', level.model, models.keys());
   }
   for (const workspace of configuration.workspaces.values()) {
     workspace.models.forEach(name => {
-      need(workspace, 'models', 'model', name, ['*', ...models.keys()]);
+      requireKnown(workspace, 'models', 'model', name, ['*', ...models.keys()]);
     });
     workspace.services.forEach(name => {
-      need(workspace, 'services', 'service', name, ['*', ...services.keys()]);
+      requireKnown(workspace, 'services', 'service', name, ['*', ...services.keys()]);
     });
   }
 }
 
-function checkPolicies(configuration: Configuration, reading: Reading): void {
+function checkPolicies(configuration: Configuration, state: ParseState): void {
   for (const policy of configuration.policies.values()) {
     for (const message of checkPolicy(policy.hook, policy.program)) {
-      addFinding(reading, policy, 'program', message);
+      addFinding(state, policy, 'program', message);
     }
   }
 }
 
-function addFinding(reading: Reading, owner: unknown, key: string, message: string): void {
-  const place = reading.declared.get(owner);
-  if (place !== undefined) {
-    reading.findings.push(findingAt(place.document, place.section, key, message));
+function addFinding(state: ParseState, owner: unknown, key: string, message: string): void {
+  const declaration = state.declarations.get(owner);
+  if (declaration !== undefined) {
+    state.findings.push(findingAt(declaration.document, declaration.section, key, message));
   }
 }
--- a/packages/core/src/configuration/fields.ts
+++ b/packages/core/src/configuration/fields.ts
@@ -1,7 +1,7 @@
-/** Zod fields for INI values, shared by settings and configuration objects. */
+/** Zod schemas for INI values, shared by settings and configuration objects. */
 import { z } from 'zod';
 
-/** A number within bounds, written in decimal. */
+/** A number from `min` to `max`. */
 export function numberField(min: number, max: number): z.ZodType<number> {
   return z.coerce
     .number({ message: 'must be a number' })
@@ -9,7 +9,7 @@
     .max(max, `must be at most ${max}`);
 }
 
-/** A whole number within bounds. */
+/** A whole number from `min` to `max`. */
 export function integerField(min: number, max: number): z.ZodType<number> {
   return z.coerce
     .number({ message: 'must be a whole number' })
@@ -18,7 +18,7 @@
     .max(max, `must be at most ${max}`);
 }
 
-/** A text that is not empty. */
+/** A non-empty text, trimmed; numbers and booleans that the INI library has parsed are turned back into text. */
 export function textField(): z.ZodType<string> {
   return z.preprocess(
     value => (typeof value === 'number' || typeof value === 'boolean' ? String(value) : value),
@@ -26,7 +26,7 @@
   ) as z.ZodType<string>;
 }
 
-/** A comma-separated list; absent means empty. */
+/** A comma-separated list of texts; an absent value is an empty list. */
 export function listField(): z.ZodType<string[]> {
   return z.preprocess(value => {
     if (value === undefined || value === '') {
@@ -39,7 +39,7 @@
   }, z.array(z.string())) as z.ZodType<string[]>;
 }
 
-/** `yes` or `no`. */
+/** A boolean, written as `yes` or `no`. */
 export function yesNoField(): z.ZodType<boolean> {
   return z.preprocess(
     value => (value === 'yes' || value === true ? true : value === 'no' ? false : value),
@@ -55,7 +55,7 @@
   );
 }
 
-/** An `http://ip:port` or `https://ip:port` address. */
+/** A URL of any scheme. */
 export function urlField(): z.ZodType<string> {
   return textField().refine(value => URL.canParse(value), 'must be a URL');
 }
--- a/packages/core/src/configuration/ini-document.ts
+++ b/packages/core/src/configuration/ini-document.ts
@@ -1,28 +1,28 @@
-/** INI texts with the place of every section and key, checked by zod schemas. */
+/** Parses INI texts with the line of every section and key, and validates sections by zod schemas. */
 import { distance } from 'fastest-levenshtein';
 import { parse } from 'ini';
 import type { z } from 'zod';
 
 import type { Finding } from '../errors/finding.js';
 
-/** The values of one section, as the INI library gives them. */
+/** The values of one section, as the INI library returns them. */
 export type IniSection = Readonly<Record<string, unknown>>;
 
-/** An INI text with the places of its sections and keys. */
+/** A parsed INI text with the lines of its sections and keys. */
 export type IniDocument = {
   readonly file: string;
   readonly sections: ReadonlyMap<string, IniSection>;
-  /** Line of each section header and of each `section\0key`. */
+  /** Line of each section header, by section name, and of each key, by `section\0key`; counted from 1. */
   readonly lines: ReadonlyMap<string, number>;
   readonly findings: readonly Finding[];
 };
 
 const HEADER = /^\s*\[([^\]]*)\]\s*$/;
 const ASSIGNMENT = /^\s*([^;#=\s][^=]*?)\s*(?:\[\])?\s*=/;
-/** A name further away than this many edits is not proposed. */
-const MAX_PROPOSAL_DISTANCE = 4;
+/** Maximum edit distance between an unknown name and a known one that is suggested instead. */
+const MAX_SUGGESTION_DISTANCE = 4;
 
-/** Parses an INI text; structural faults become findings. */
+/** Parses an INI text; syntax errors and duplicates become findings. */
 export function parseIni(file: string, text: string): IniDocument {
   const lines = new Map<string, number>();
   const findings: Finding[] = [];
@@ -32,7 +32,7 @@
     const header = HEADER.exec(content);
     if (header !== null) {
       section = header[1].trim();
-      addPlace(section, line, {
+      addLine(section, line, {
         file,
         section,
         line,
@@ -43,14 +43,14 @@
     const assignment = ASSIGNMENT.exec(content);
     if (assignment !== null) {
       const key = assignment[1];
-      const twice: Finding = {
+      const duplicate: Finding = {
         file,
         section,
         key,
         line,
         message: 'key appears twice',
       };
-      addPlace(placeOf(section, key), line, twice);
+      addLine(keyName(section, key), line, duplicate);
     } else if (content.trim() !== '' && !/^\s*[;#]/.test(content)) {
       findings.push({
         file,
@@ -61,24 +61,24 @@
     }
   });
 
-  function addPlace(place: string, line: number, twice: Finding): void {
-    if (lines.has(place)) {
-      findings.push(twice);
+  function addLine(name: string, line: number, duplicate: Finding): void {
+    if (lines.has(name)) {
+      findings.push(duplicate);
     } else {
-      lines.set(place, line);
+      lines.set(name, line);
     }
   }
 
   return { file, sections: readSections(text), lines, findings };
 }
 
-/** The line of a key, or of its section when the key is absent; 0 when neither is there. */
+/** Returns the line of a key, or of its section when the key is absent; 0 when both are absent. */
 export function lineOf(document: IniDocument, section: string, key?: string): number {
-  const ofKey = key === undefined ? undefined : document.lines.get(placeOf(section, key));
-  return ofKey ?? document.lines.get(section) ?? 0;
+  const keyLine = key === undefined ? undefined : document.lines.get(keyName(section, key));
+  return keyLine ?? document.lines.get(section) ?? 0;
 }
 
-/** Checks one section; on faults adds findings and returns undefined. */
+/** Validates one section; if it is invalid, adds findings and returns undefined. */
 export function checkSection<T>(
   document: IniDocument,
   section: string,
@@ -103,7 +103,7 @@
   return undefined;
 }
 
-/** A finding with the place of a key in a document. */
+/** Creates a finding for a key, or for a section when no key is given, with its file and line. */
 export function findingAt(
   document: IniDocument,
   section: string,
@@ -119,20 +119,20 @@
   };
 }
 
-/** Text for an unknown name, with the nearest known one where there is one near. */
+/** Returns the message for an unknown name, which suggests the most similar known name if there is one. */
 export function unknownName(kind: string, name: string, known: readonly string[]): string {
   const nearest = [...known].sort((a, b) => distance(a, name) - distance(b, name))[0];
-  const near = nearest !== undefined && distance(nearest, name) <= MAX_PROPOSAL_DISTANCE;
-  return near
+  const isSimilar = nearest !== undefined && distance(nearest, name) <= MAX_SUGGESTION_DISTANCE;
+  return isSimilar
     ? `unknown ${kind} '${name}'; did you mean '${nearest}'?`
     : `unknown ${kind} '${name}'`;
 }
 
-function placeOf(section: string, key: string): string {
+function keyName(section: string, key: string): string {
   return `${section}\0${key}`;
 }
 
-// The library splits section names at dots; escaping keeps `[model glm-4.7]` in one piece.
+// The INI library splits section names at dots into nested objects; escaped dots keep `[model glm-4.7]` one section.
 function readSections(text: string): Map<string, IniSection> {
   const escaped = text
     .split('\n')
@@ -143,8 +143,8 @@
     if (typeof value === 'object' && value !== null) {
       sections.set(name.trim(), value as IniSection);
     } else {
-      const top = sections.get('') ?? {};
-      sections.set('', { ...top, [name]: value });
+      const topLevel = sections.get('') ?? {};
+      sections.set('', { ...topLevel, [name]: value });
     }
   }
   return sections;
--- a/packages/core/src/configuration/objects.ts
+++ b/packages/core/src/configuration/objects.ts
@@ -1,29 +1,29 @@
-/** The objects that operators declare: models, adapters, workspaces, services, upstreams, policies. */
+/** Schemas of the objects that operators declare in the configuration. */
 import { z } from 'zod';
 
 import { integerField, listField, numberField, textField, yesNoField } from './fields.js';
 
-/** A model: what a replica is made of and how many replicas are wanted. */
+/** A model: the hosts and weights that one replica needs, and the number of replicas wanted. */
 export type Model = z.infer<typeof modelSchema>;
 /** Schema of `[model NAME]`. */
 export const modelSchema = z.strictObject({
   version: textField(),
-  /** Hosts of one replica. */
+  /** Number of hosts of one replica. */
   hosts: integerField(1, 64),
-  /** Replicas wanted over all failure domains. */
+  /** Number of replicas wanted in all failure domains together. */
   replicas: integerField(0, 10000),
-  /** Weight of one replica's downtime against others; higher is more important. */
+  /** Factor on the cost of one replica's downtime; higher is more important. */
   importance: numberField(0.01, 1000).default(1),
-  /** Gigabytes of weights that each host reads. */
+  /** Size of the weights that each host reads, in gigabytes. */
   'gigabytes-per-host': numberField(0.001, 10000),
-  /** Requests that a replica runs at once. */
+  /** Number of requests that a replica runs at the same time. */
   slots: integerField(1, 100000).default(64),
   'failure-domains': listField(),
   adapters: listField(),
   upstream: textField(),
 });
 
-/** An adapter that replicas of a model load besides the model. */
+/** An adapter that the replicas of a model load in addition to the model. */
 export type Adapter = z.infer<typeof adapterSchema>;
 /** Schema of `[adapter NAME]`. */
 export const adapterSchema = z.strictObject({
@@ -31,7 +31,7 @@
   version: textField(),
 });
 
-/** A workspace: callers who share keys and a share of the capacity. */
+/** A workspace: callers with a common set of keys and a common share of the capacity. */
 export type Workspace = z.infer<typeof workspaceSchema>;
 /** Schema of `[workspace NAME]`. */
 export const workspaceSchema = z.strictObject({
@@ -40,31 +40,31 @@
     keys => keys.length > 0 && keys.every(key => /^[0-9a-f]{64}$/.test(key)),
     'must be SHA-256 values in lower-case hexadecimal, separated by commas',
   ),
-  /** Part of the capacity that the workspace may hold when others want theirs. */
+  /** Share of the capacity, 0 to 1, that the workspace may use while others need theirs. */
   share: numberField(0, 1),
   models: listField(),
   services: listField(),
 });
 
-/** A plain service to which calls are routed. */
+/** A plain service (not a model) to which calls are routed. */
 export type Service = z.infer<typeof serviceSchema>;
 /** Schema of `[service NAME]`. */
 export const serviceSchema = z.strictObject({
-  /** `failure-domain@http://ip:port`, separated by commas. */
+  /** Servers of the service, as `failure-domain@http://ip:port`, separated by commas. */
   runners: listField().refine(
     items => items.length > 0 && items.every(item => /^[^@]+@https?:\/\/[^@]+$/.test(item)),
     'must be FAILURE-DOMAIN@URL, separated by commas',
   ),
-  /** `METHOD /path-prefix` of calls that must not run twice, separated by commas. */
+  /** Calls that must not run twice, as `METHOD /path-prefix`, separated by commas. */
   'non-repeatable': listField(),
   'timeout-ms': integerField(1, 3_600_000).default(10_000),
 });
 
-/** What is known of a kind of host. */
+/** Properties of a kind of upstream host, to which models refer by name. */
 export type Upstream = z.infer<typeof upstreamSchema>;
 /** Schema of `[upstream NAME]`. */
 export const upstreamSchema = z.strictObject({
-  /** Whether it refuses orders and requests that carry an older epoch. */
+  /** Whether these hosts refuse orders and requests that carry an older epoch. */
   'checks-fence': yesNoField(),
 });
 
@@ -73,7 +73,7 @@
 /** One of the hooks at which a policy program runs. */
 export type PolicyHook = (typeof POLICY_HOOKS)[number];
 
-/** A policy: a CEL expression at a hook. */
+/** A policy: a CEL expression that is evaluated at a hook. */
 export type Policy = z.infer<typeof policySchema>;
 /** Schema of `[policy NAME]`. */
 export const policySchema = z.strictObject({
@@ -83,33 +83,33 @@
   program: textField(),
 });
 
-/** The service level that callers of a model are promised. */
+/** The service level promised to callers of a model: time limits and how often they are met. */
 export type ServiceLevel = z.infer<typeof serviceLevelSchema>;
 /** Schema of `[service-level NAME]`. */
 export const serviceLevelSchema = z.strictObject({
   model: textField(),
   'first-token-ms': numberField(1, 1e6),
   'between-tokens-ms': numberField(0.1, 1e6),
-  /** Part of the requests that must keep both. */
+  /** Share of the requests, 0 to 1, that must meet both limits. */
   objective: numberField(0.5, 0.99999),
 });
 
-/** Deployment-wide values. */
+/** Values that apply to the whole deployment. */
 export type Deployment = z.infer<typeof deploymentSchema>;
 /** Schema of `[deployment]`. */
 export const deploymentSchema = z.strictObject({
   name: textField(),
   /** Failure domains, in the order in which replicas and key shares are spread over them. */
   'failure-domains': listField().refine(items => items.length > 0, 'must name at least one'),
-  /** What a second of downtime of a replica of importance 1 costs. */
+  /** Cost of one second of downtime of a replica with importance 1. */
   'downtime-weight': numberField(0, 1000).default(1),
-  /** What a second of an accelerator that sits idle costs. */
+  /** Cost of one second of an idle accelerator. */
   'stranded-weight': numberField(0, 1000).default(0.1),
-  /** Gigabytes a second that the weight store gives to all loads together. */
+  /** Throughput of the weight store for all loads together, in gigabytes per second. */
   'weight-store-gigabytes-per-second': numberField(0.001, 100000).default(10),
 });
 
-/** Everything operators declared, at one revision. */
+/** All objects that operators declared in one revision, by name. */
 export type Configuration = {
   readonly deployment: Deployment;
   readonly models: ReadonlyMap<string, Model>;
--- a/packages/core/src/errors/finding.ts
+++ b/packages/core/src/errors/finding.ts
@@ -1,6 +1,6 @@
-/** Findings: problems in a text an operator wrote, collected with their place and reported together. */
+/** Findings: errors in a file written by an operator, collected with their position and reported together. */
 
-/** One problem, with the place where it stands. Lines count from 1; 0 means the place is unknown. */
+/** One error with its position. Lines count from 1; line 0 means that the position is unknown. */
 export type Finding = {
   readonly file: string;
   readonly section: string;
@@ -15,7 +15,7 @@
   return `${finding.file}:${finding.line}: [${finding.section}]${key}: ${finding.message}`;
 }
 
-/** Sorts findings by file and line, so that a report reads like the file. */
+/** Sorts findings by file and line, so that a report follows the order of the file. */
 export function sortFindings(findings: readonly Finding[]): Finding[] {
   return [...findings].sort((a, b) => a.file.localeCompare(b.file) || a.line - b.line);
 }
--- a/packages/core/src/errors/problem.ts
+++ b/packages/core/src/errors/problem.ts
@@ -1,14 +1,14 @@
-/** Problem documents (RFC 9457) that callers and operators receive. */
+/** Problem documents (RFC 9457), the error responses to callers and operators. */
 
 /**
- * What is known about the execution of a request that failed.
- * `not-run`: no upstream started it. `interrupted`: it started and its answer was cut.
- * `unknown`: it may have run. `in-progress`: another delivery of the same key runs now.
- * `done`: an earlier delivery ran to its end and its answer is not held any more.
+ * Execution state of a failed request.
+ * `not-run`: no upstream started it. `interrupted`: it started and its response broke off.
+ * `unknown`: it may have run. `in-progress`: another delivery with the same key is running now.
+ * `done`: an earlier delivery completed, and its response is no longer kept.
  */
 export type Execution = 'not-run' | 'unknown' | 'interrupted' | 'in-progress' | 'done';
 
-/** Stable error codes; a caller may switch on them. */
+/** Stable error codes, on which a caller may branch. */
 export type ProblemCode =
   | 'malformed-body'
   | 'body-too-large'
@@ -46,7 +46,7 @@
   | 'unknown-object'
   | 'internal';
 
-/** The body of an `application/problem+json` answer. */
+/** The body of an `application/problem+json` response. */
 export type ProblemDocument = {
   readonly type: string;
   readonly title: string;
@@ -55,17 +55,17 @@
   readonly detail: string;
   readonly execution: Execution;
   readonly requestId?: string;
-  /** Seconds after which it makes sense to ask again. */
+  /** Time after which a retry may succeed, in seconds. */
   readonly retryAfter?: number;
 };
 
-/** Options for a problem that a component raises. */
+/** Options of a {@link ProblemError}; `execution` is `not-run` by default. */
 export type ProblemOptions = {
   readonly status: number;
   readonly code: ProblemCode;
   readonly detail: string;
   readonly execution?: Execution;
-  /** Seconds after which it makes sense to ask again. */
+  /** Time after which a retry may succeed, in seconds. */
   readonly retryAfter?: number;
 };
 
@@ -74,7 +74,7 @@
 
 const TYPE_PREFIX = 'https://hingescale.example/problems/';
 
-/** An error with the answer that a caller gets for it. */
+/** An error that is sent to the caller as a problem document. */
 export class ProblemError extends Error {
   readonly reason: ProblemCode;
   readonly status: number;
@@ -90,7 +90,7 @@
     this.retryAfter = options.retryAfter;
   }
 
-  /** The document to send, tied to the request it answers. */
+  /** Returns the problem document to send, with the id of the request if one is given. */
   toDocument(requestId?: string): ProblemDocument {
     return {
       type: TYPE_PREFIX + this.reason,
--- a/packages/core/src/index.ts
+++ b/packages/core/src/index.ts
@@ -1,4 +1,4 @@
-/** Objects, contracts and pure rules of hingescale, without I/O. */
+/** Data types, contracts and decision rules of hingescale, without I/O. */
 export * from './configuration/configuration.js';
 export * from './configuration/fields.js';
 export * from './configuration/head.js';
--- a/packages/core/src/requests/burn.ts
+++ b/packages/core/src/requests/burn.ts
@@ -1,13 +1,13 @@
-/** Burn of service levels: how fast the part of requests that may be bad is used up. */
+/** Burn rates of service levels: how fast the allowed share of bad requests is used up. */
 import type { ServiceLevel } from '../configuration/objects.js';
 
-/** Windows that a report looks at, in minutes. */
+/** Lengths of the windows for which a report gives burn rates, in minutes. */
 export const BURN_WINDOWS_MIN = [5, 60, 360] as const;
 
-/** Requests of a workspace on a model in one window. */
+/** All requests, and those that missed the service level, of a workspace to a model in one window. */
 export type BurnCount = { readonly total: number; readonly bad: number };
 
-/** What one gateway counted for a workspace and a model. */
+/** Counts and first-token times of one gateway for a workspace and a model. */
 export type BurnSeries = {
   readonly workspace: string;
   readonly model: string;
@@ -17,18 +17,18 @@
   readonly firstToken: string;
 };
 
-/** One line of a report. */
+/** One line of a burn report: the figures of a workspace and a model over all gateways. */
 export type BurnLine = {
   readonly workspace: string;
   readonly model: string;
-  /** Burn rate by window: 1 uses the allowance up exactly; undefined without requests. */
+  /** Burn rate by window: 1 uses up the allowed bad requests exactly; undefined without requests. */
   readonly burn: readonly (number | undefined)[];
   readonly windows: readonly BurnCount[];
-  /** First-token time in milliseconds that 95 in 100 requests stayed below. */
+  /** 95th percentile of the first-token time, in milliseconds. */
   readonly firstTokenP95Ms: number;
 };
 
-/** Whether a request kept its service level. */
+/** True when both times of a request are within the service level. */
 export function keepsLevel(
   level: ServiceLevel,
   firstTokenMs: number,
@@ -37,15 +37,17 @@
   return firstTokenMs <= level['first-token-ms'] && betweenTokensMs <= level['between-tokens-ms'];
 }
 
-/** Burn rate of a count under an objective. */
+/**
+ * Share of bad requests divided by the share that the objective (0 to 1) allows; undefined without requests.
+ */
 export function burnRate(count: BurnCount, objective: number): number | undefined {
   return count.total === 0 ? undefined : count.bad / count.total / (1 - objective);
 }
 
-/** Sums counts of several gateways, window by window. */
-export function sumWindows(all: readonly (readonly BurnCount[])[]): BurnCount[] {
+/** Sums the counts of several gateways, window by window. */
+export function sumWindows(perGateway: readonly (readonly BurnCount[])[]): BurnCount[] {
   return BURN_WINDOWS_MIN.map((_minutes, index) => ({
-    total: all.reduce((sum, windows) => sum + windows[index].total, 0),
-    bad: all.reduce((sum, windows) => sum + windows[index].bad, 0),
+    total: perGateway.reduce((sum, windows) => sum + windows[index].total, 0),
+    bad: perGateway.reduce((sum, windows) => sum + windows[index].bad, 0),
   }));
 }
--- a/packages/core/src/requests/completion.ts
+++ b/packages/core/src/requests/completion.ts
@@ -1,4 +1,4 @@
-/** Requests and answers in the OpenAI shape, and their assembly from a stream. */
+/** Requests and responses of the OpenAI API, and the assembly of a response from a stream. */
 import { z } from 'zod';
 
 /** Largest number of tokens a caller may ask for. */
@@ -11,41 +11,42 @@
   model: z.string().min(1),
   stream: z.boolean().default(false),
   max_tokens: z.int().min(1).max(MAX_TOKENS).default(DEFAULT_TOKENS),
-  /** Adapter to use, an extension of the OpenAI shape. */
+  /** Name of the adapter to use; an extension of the OpenAI API. */
   adapter: z.string().optional(),
 };
 
-/** Schema of a chat request; unknown members pass through to the engine. */
+/** Schema of a chat completion request; unknown members pass through to the engine. */
 export const chatSchema = z.looseObject({
   ...commonFields,
   messages: z.array(messageSchema).min(1),
 });
 
-/** Schema of a text request. */
+/** Schema of a text completion request; unknown members pass through to the engine. */
 export const textSchema = z.looseObject({
   ...commonFields,
   prompt: z.string(),
 });
 
-/** Which of the two shapes a request has. */
+/** Whether a request is a chat completion or a text completion. */
 export type CompletionShape = 'chat' | 'text';
 
-/** A checked request in either shape. */
+/** A validated request of either shape. */
 export type CompletionRequest = {
   readonly shape: CompletionShape;
   readonly model: string;
   readonly stream: boolean;
   readonly maxTokens: number;
   readonly adapter: string | undefined;
+  /** The prompt, or the chat messages joined to one text. */
   readonly prompt: string;
-  /** The body as the caller sent it. */
+  /** The body that the caller sent, with defaults filled in. */
   readonly body: Readonly<Record<string, unknown>>;
 };
 
-/** Data of the event that ends a whole stream. */
+/** Data of the event that marks the end of a complete stream. */
 export const END_MARKER = '[DONE]';
 
-/** Checks a body; gives a request or a message that says what is wrong. */
+/** Validates a body; returns the request, or a message that lists what is invalid. */
 export function parseCompletion(
   shape: CompletionShape,
   body: unknown,
@@ -75,7 +76,7 @@
   return { ok: true, request };
 }
 
-/** A piece of a stream, as far as the system reads it. */
+/** The members of a stream's chunk that the system reads. */
 export type CompletionChunk = {
   readonly id: string;
   readonly model: string;
@@ -87,19 +88,19 @@
   }[];
 };
 
-/** Text of a chunk in either shape. */
+/** Returns the text of a chunk of either shape. */
 export function chunkText(chunk: CompletionChunk): string {
   const choice = chunk.choices[0];
   return choice?.delta?.content ?? choice?.text ?? '';
 }
 
-/** Rough number of tokens in a prompt: four characters a token. */
+/** Estimates the number of tokens in a prompt, at four characters per token. */
 export function estimateTokens(prompt: string): number {
   const charactersPerToken = 4;
   return Math.ceil(prompt.length / charactersPerToken);
 }
 
-/** Builds the plain answer from the text of a whole stream. */
+/** Builds the response to a request without streaming from the text of a complete stream. */
 export function assembleCompletion(
   request: CompletionRequest,
   requestId: string,
--- a/packages/core/src/requests/engine-headers.ts
+++ b/packages/core/src/requests/engine-headers.ts
@@ -1,22 +1,22 @@
-/** Names of the HTTP headers between callers, gateways and upstreams. */
+/** Names of the HTTP headers that callers, gateways and upstreams exchange. */
 
 /** Id of the request, chosen by the caller or the gateway and echoed by every upstream. */
 export const REQUEST_ID_HEADER = 'hingescale-request-id';
-/** Group that a request is meant for. */
+/** Replica group to which a request is addressed. */
 export const GROUP_HEADER = 'hingescale-group';
-/** Epoch of the group that a request is meant for; echoed by the engine. */
+/** Epoch of the replica group to which a request is addressed; echoed by the engine. */
 export const EPOCH_HEADER = 'hingescale-epoch';
-/** Milliseconds that the caller still waits. */
+/** Time that the caller will still wait, in milliseconds. */
 export const DEADLINE_HEADER = 'hingescale-deadline-ms';
-/** Priority of a request at the engine; higher goes first. */
+/** Priority of a request at the engine; higher values run first. */
 export const PRIORITY_HEADER = 'hingescale-priority';
 /** `false` marks a request that must not run twice. */
 export const REPEATABLE_HEADER = 'hingescale-repeatable';
-/** Key under which deliveries of one request are recognised. */
+/** Key by which repeated deliveries of one request are recognised. */
 export const IDEMPOTENCY_KEY_HEADER = 'idempotency-key';
-/** Group and host where a request ran, told to the caller. */
+/** Replica group and host that ran a request, reported to the caller. */
 export const RAN_ON_HEADER = 'hingescale-ran-on';
-/** Execution state that an upstream declares when it refuses. */
+/** Execution state that an upstream reports when it refuses a request. */
 export const EXECUTION_HEADER = 'hingescale-execution';
-/** Salt of the engine's prefix cache: the workspace. */
+/** Salt for the engine's prefix cache: the name of the workspace. */
 export const CACHE_SALT_HEADER = 'hingescale-cache-salt';
--- a/packages/core/src/requests/sse.ts
+++ b/packages/core/src/requests/sse.ts
@@ -1,38 +1,38 @@
-/** Incremental reading of server-sent events (WHATWG HTML, 9.2). */
+/** Incremental parser and formatter of server-sent events (WHATWG HTML, 9.2). */
 
-/** One event: its data and, where given, its id. */
+/** The data of an event and its id; undefined when it has none. */
 export type SseEvent = {
   readonly id: string | undefined;
   readonly data: string;
 };
 
-/** Largest unfinished event that is held. */
+/** Maximum length of a buffered, incomplete event, in characters. */
 const MAX_EVENT_CHARACTERS = 1_000_000;
 
-/** Reads events from pieces of text; feeds may cut anywhere. */
+/** Parses events from pieces of text, which may be split at any character. */
 export class SseReader {
-  #rest = '';
+  #buffer = '';
 
-  /** Takes a piece of text and gives the events that are now whole. */
+  /** Adds a piece of text and returns the events that it completes; throws when the rest exceeds the limit. */
   feed(text: string): SseEvent[] {
-    this.#rest += text;
+    this.#buffer += text;
     const events: SseEvent[] = [];
-    let end = this.#rest.indexOf('\n\n');
+    let end = this.#buffer.indexOf('\n\n');
     let start = 0;
     while (end >= 0) {
-      events.push(parseEvent(this.#rest.slice(start, end)));
+      events.push(parseEvent(this.#buffer.slice(start, end)));
       start = end + 2;
-      end = this.#rest.indexOf('\n\n', start);
+      end = this.#buffer.indexOf('\n\n', start);
     }
-    this.#rest = this.#rest.slice(start);
-    if (this.#rest.length > MAX_EVENT_CHARACTERS) {
-      throw new RangeError('event is too large');
+    this.#buffer = this.#buffer.slice(start);
+    if (this.#buffer.length > MAX_EVENT_CHARACTERS) {
+      throw new RangeError('the incomplete event is too long');
     }
     return events;
   }
 }
 
-/** Writes an event. */
+/** Formats an event with its optional id and type. */
 export function formatEvent(data: string, id?: string, event?: string): string {
   const idLine = id === undefined ? '' : `id: ${id}\n`;
   const eventLine = event === undefined ? '' : `event: ${event}\n`;
--- a/packages/core/src/store/revision.ts
+++ b/packages/core/src/store/revision.ts
@@ -1,55 +1,55 @@
 /**
- * Points of the store's history.
+ * Revisions of the store that stay ordered when the store is restored from an older copy.
  *
- * A store that comes back from an older copy gives revision numbers out again, and says so by counting an era up.
- * A {@link Revision} is both in one number, the era in its high part, so that the later of two revisions is the
- * greater.
+ * A restored store assigns revision numbers again that it has already used, and increments its era. A
+ * {@link Revision} combines era and number in one number, with the era in the high part, so that the later of two
+ * revisions is always the greater.
  */
 
-/** A point of the store's history; see {@link revisionIn}. */
+/** Era and revision number of the store in one number; built by {@link revisionIn}. */
 export type Revision = number;
 
-/** Numbers of one era: more than a thousand years of a hundred changes a second. */
+/** Revision numbers in one era: enough for a hundred changes a second for more than a thousand years. */
 const NUMBERS_PER_ERA = 2 ** 42;
-/** Eras that fit into exact whole numbers above the numbers of each. */
-const MOST_ERAS = 2 ** 11;
+/** Number of eras: with 2 ** 42 numbers each, all revisions are safe integers (below 2 ** 53). */
+const MAX_ERAS = 2 ** 11;
 
-/** A revision that can not be. */
+/** Error for an era or a revision number that is out of bounds. */
 export class RevisionError extends Error {
   readonly reason = 'out-of-bounds';
 
   constructor(era: number, number: number) {
-    super(`no revision: ${number} of era ${era}`);
+    super(`revision ${number} of era ${era} is out of bounds`);
     this.name = 'RevisionError';
   }
 }
 
-/** The revision with a number of an era; throws a {@link RevisionError} where one of them is out of bounds. */
+/** Combines an era and a number in it; throws a {@link RevisionError} when one of them is out of bounds. */
 export function revisionIn(era: number, number: number): Revision {
-  const isEra = Number.isInteger(era) && era >= 0 && era < MOST_ERAS;
-  const isNumber = Number.isInteger(number) && number >= 0 && number < NUMBERS_PER_ERA;
-  if (!isEra || !isNumber) {
+  const isEraValid = Number.isInteger(era) && era >= 0 && era < MAX_ERAS;
+  const isNumberValid = Number.isInteger(number) && number >= 0 && number < NUMBERS_PER_ERA;
+  if (!isEraValid || !isNumberValid) {
     throw new RevisionError(era, number);
   }
   return era * NUMBERS_PER_ERA + number;
 }
 
-/** How often the store had come back from an older copy, at a revision. */
+/** Returns the era of a revision: how often the store had been restored from an older copy by then. */
 export function eraOf(revision: Revision): number {
   return Math.floor(revision / NUMBERS_PER_ERA);
 }
 
-/** The number by which the store itself knows a revision, within its era. */
+/** Returns the number that the store itself uses for a revision, which is unique only within its era. */
 export function numberInEra(revision: Revision): number {
   return revision % NUMBERS_PER_ERA;
 }
 
-/** True for a revision after another in the store's history. */
+/** True when a revision comes after the other in the store's history. */
 export function isLaterRevision(revision: Revision, other: Revision): boolean {
   return revision > other;
 }
 
-/** True where the store has come back from an older copy between two revisions. */
+/** True when the store was restored from an older copy between a revision and the other, later one. */
 export function isOfEarlierEra(revision: Revision, other: Revision): boolean {
   return eraOf(revision) < eraOf(other);
 }
--- a/packages/core/src/store/store-eras.ts
+++ b/packages/core/src/store/store-eras.ts
@@ -1,30 +1,30 @@
-/** The eras that a store names in its answers. */
+/** Tracks the era that a store reports in its responses. */
 import type { Revision } from './revision.js';
 import { eraOf } from './revision.js';
 
-/** Header of an answer that names the store's era, in lower case. */
+/** Name of the response header with the store's era, in lower case. */
 export const STORE_ERA_HEADER = 'store-era';
 
-const WHOLE_NUMBER = /^\d+$/;
+const DECIMAL_DIGITS = /^\d+$/;
 
-/** Knows the latest era of one store. */
+/** Keeps the latest era that one store has reported. */
 export class StoreEras {
   #latest = 0;
 
-  /** The latest era of any answer; 0 where the store names none. */
+  /** The latest era of any response; 0 while the store has reported none. */
   get latest(): number {
     return this.#latest;
   }
 
-  /** Takes the header of an answer and gives the answer's era; one that names none is of the latest. */
+  /** Records a response's era header and returns the response's era: the latest known one if it has no valid header. */
   note(header: string | string[] | undefined): number {
-    const isNamed = typeof header === 'string' && WHOLE_NUMBER.test(header);
-    const era = isNamed ? Number(header) : this.#latest;
+    const isReported = typeof header === 'string' && DECIMAL_DIGITS.test(header);
+    const era = isReported ? Number(header) : this.#latest;
     this.#latest = Math.max(this.#latest, era);
     return era;
   }
 
-  /** True when the store has come back from an older copy since it had a revision. */
+  /** True when the store has been restored from an older copy since a revision. */
   isOver(revision: Revision): boolean {
     return eraOf(revision) < this.#latest;
   }
--- a/packages/object-store/src/configuration-holder.test.ts
+++ b/packages/object-store/src/configuration-holder.test.ts
@@ -12,14 +12,14 @@
 }
 
 describe('configuration holder', () => {
-  it('never goes back to a lower revision, whoever offers it', () => {
+  it('never goes back to a lower revision', () => {
     const holder = new ConfigurationHolder(silentLog(), new Metrics());
-    const taken = [2, 1, 2, 3, 1].map(number => holder.offer(revision(number)));
-    expect(taken).to.deep.equal([true, false, false, true, false]);
+    const applied = [2, 1, 2, 3, 1].map(number => holder.offer(revision(number)));
+    expect(applied).to.deep.equal([true, false, false, true, false]);
     expect(holder.revision).to.equal(3);
   });
 
-  it('keeps the revision in force when a newer one can not be read', () => {
+  it('keeps the revision in force when a newer one is invalid', () => {
     const holder = new ConfigurationHolder(silentLog(), new Metrics());
     holder.offer(revision(1));
     expect(holder.offer(revision(2, '[nonsense]'))).to.equal(false);
--- a/packages/object-store/src/configuration-store.ts
+++ b/packages/object-store/src/configuration-store.ts
@@ -1,4 +1,4 @@
-/** Accepting and reading configurations in the platform. */
+/** Stores accepted configurations in the platform and reads them back. */
 import type {
   Configuration,
   ConfigurationFile,
@@ -15,19 +15,19 @@
 import type { PlatformClient, StoredObject } from './platform-client.js';
 import { PlatformError } from './platform-error.js';
 
-/** Name of the head object. */
+/** Name of the head object, of which there is one in a platform. */
 export const HEAD_NAME = 'head';
 
-/** A change that an operator proposes. */
+/** A configuration proposed by an operator to replace the one in force. */
 export type ProposedChange = {
   readonly files: readonly ConfigurationFile[];
   readonly operator: string;
   readonly note: string;
-  /** Revision the operator started from; another one in force is a conflict. */
+  /** Revision on which the change is based; it is a conflict if another one is in force. */
   readonly base: number;
 };
 
-/** Why a change was not accepted. */
+/** Reason why a change was not accepted, or, for `unknown`, may not have been. */
 export type ChangeError =
   | { readonly reason: 'findings'; readonly findings: readonly Finding[] }
   | { readonly reason: 'conflict'; readonly current: ConfigurationHead }
@@ -41,7 +41,7 @@
 const RESOLVE_ATTEMPTS = 8;
 const RESOLVE_PAUSE_MS = 250;
 
-/** Reads the head with the texts of its parts. */
+/** Reads the head and the texts of its parts. */
 export async function readRevision(
   client: PlatformClient,
 ): Promise<Result<ConfigurationRevision, PlatformError>> {
@@ -64,21 +64,23 @@
       return Result.err(stored.error);
     }
     if (sha256(stored.value.value) !== part.hash) {
-      return Result.err(new PlatformError('unknown', `part ${part.file} has another hash`));
+      return Result.err(
+        new PlatformError('unknown', `the stored text of ${part.file} does not match its hash`),
+      );
     }
     files.push({ name: part.file, text: stored.value.value });
   }
   return Result.ok({ head, files });
 }
 
-/** Checks a change and makes it the next revision by one conditional update of the head. */
+/** Validates a change and makes it the next revision by one conditional update of the head. */
 export async function acceptChange(
   client: PlatformClient,
   change: ProposedChange,
 ): Promise<Result<ConfigurationRevision, ChangeError>> {
-  const checked: Result<Configuration, Finding[]> = readConfiguration(change.files);
-  if (checked.isErr) {
-    return Result.err({ reason: 'findings', findings: checked.error });
+  const parsed: Result<Configuration, Finding[]> = readConfiguration(change.files);
+  if (parsed.isErr) {
+    return Result.err({ reason: 'findings', findings: parsed.error });
   }
   const current = await currentHead(client);
   if (current.isErr) {
@@ -99,17 +101,17 @@
     note: change.note,
     acceptedAt: new Date().toISOString(),
     parts: parts.value,
-    history: historyAfter(base?.value),
+    history: appendToHistory(base?.value),
   };
   const written = await writeHead(client, base, head);
   return written.map(() => ({ head, files: change.files }));
 }
 
-function historyAfter(before: ConfigurationHead | undefined): HistoryEntry[] {
-  if (before === undefined) {
+function appendToHistory(previous: ConfigurationHead | undefined): HistoryEntry[] {
+  if (previous === undefined) {
     return [];
   }
-  const { history, ...entry } = before;
+  const { history, ...entry } = previous;
   return [entry, ...history].slice(0, KEPT_HISTORY);
 }
 
@@ -131,7 +133,8 @@
   return resolveWrite(client, base?.version ?? 0, head);
 }
 
-// The answer was lost or says conflict: only the head tells whether this change is in it.
+// Called when the response was lost or reports a conflict: only the head or its history shows
+// whether this change was accepted.
 async function resolveWrite(
   client: PlatformClient,
   baseVersion: number,
@@ -165,7 +168,7 @@
   return head;
 }
 
-/** Writes the texts of a configuration as parts, named by their hashes. */
+/** Writes the texts of a configuration as part objects, each named by the hash of its text. */
 export async function writeParts(
   client: PlatformClient,
   files: readonly ConfigurationFile[],
@@ -174,7 +177,7 @@
   for (const file of files) {
     const hash = sha256(file.text);
     const written = await client.create('configuration-part', hash, file.text);
-    // A part is named by its content, so one that is there already is the same.
+    // A part is named by the hash of its text, so an existing one has the same text.
     if (written.isErr && written.error.reason !== 'conflict') {
       return Result.err(written.error);
     }
--- a/packages/object-store/src/configuration-watch.ts
+++ b/packages/object-store/src/configuration-watch.ts
@@ -1,4 +1,4 @@
-/** Follows the head object and offers each new revision to the holder. */
+/** Watches the head object and passes each new revision to the configuration holder. */
 import type { ConfigurationHead } from '@hingescale/core';
 
 import type { ConfigurationHolder } from './configuration-holder.js';
@@ -6,7 +6,7 @@
 import type { PlatformClient } from './platform-client.js';
 import { ObjectWatcher } from './watcher.js';
 
-/** Starts a watch of the head that feeds the holder; stop the returned watcher to end it. */
+/** Starts a watch of the head that updates the holder; stopping the returned watcher ends it. */
 export function watchConfiguration(
   client: PlatformClient,
   holder: ConfigurationHolder,
@@ -25,7 +25,7 @@
 const PART_ATTEMPTS = 20;
 const PART_RETRY_MS = 250;
 
-// Parts may be unreadable for a moment; the head itself will not be reported again.
+// Retries, because parts may be temporarily unreadable and the watch reports a head only once.
 async function offerHead(
   client: PlatformClient,
   holder: ConfigurationHolder,
--- a/packages/object-store/src/evacuation-store.ts
+++ b/packages/object-store/src/evacuation-store.ts
@@ -1,4 +1,4 @@
-/** Orders to evacuate failure domains, as objects in the platform. */
+/** Stores the orders to evacuate failure domains in the platform. */
 import type { Evacuation, VersionedEvacuation } from '@hingescale/core';
 import { Result } from 'true-myth';
 
@@ -6,27 +6,27 @@
 import type { PlatformError } from './platform-error.js';
 
 /**
- * Writes an order, unless the one in force says the same; returns the order in force. Fails with `conflict`
- * when another order was written meanwhile.
+ * Writes an order unless the stored one has the same `evacuated` value; returns the stored order. Fails with
+ * `conflict` when another order was written meanwhile.
  */
 export async function writeEvacuation(
   client: PlatformClient,
   evacuation: Evacuation,
 ): Promise<Result<StoredObject<Evacuation>, PlatformError>> {
   const { failureDomain } = evacuation;
-  const present = await client.read<Evacuation>('evacuation', failureDomain);
-  if (present.isErr) {
-    return present.error.reason === 'missing'
+  const existing = await client.read<Evacuation>('evacuation', failureDomain);
+  if (existing.isErr) {
+    return existing.error.reason === 'missing'
       ? client.create('evacuation', failureDomain, evacuation)
-      : Result.err(present.error);
+      : Result.err(existing.error);
   }
-  const { version, value } = present.value;
+  const { version, value } = existing.value;
   return value.evacuated === evacuation.evacuated
-    ? present
+    ? existing
     : client.update('evacuation', failureDomain, version, evacuation);
 }
 
-/** Stored orders in the form in which they are passed on to gateways. */
+/** Converts stored orders to the form that is sent to gateways. */
 export function versioned(
   objects: Iterable<StoredObject<Evacuation>>,
 ): readonly VersionedEvacuation[] {
--- a/packages/object-store/src/index.ts
+++ b/packages/object-store/src/index.ts
@@ -1,4 +1,4 @@
-/** Access to the platform's object API. */
+/** Client of the platform's object API, with watches, configurations and evacuations on top of it. */
 export * from './configuration-holder.js';
 export * from './configuration-store.js';
 export * from './configuration-watch.js';
--- a/packages/object-store/src/platform-client.ts
+++ b/packages/object-store/src/platform-client.ts
@@ -1,8 +1,8 @@
 /**
- * Client of the platform's object API: versions, conditional updates, long-poll watches.
+ * Client of the platform's object API: versioned objects, conditional updates, long-poll watches.
  *
- * A platform that comes back from an older copy gives versions out again and counts its era up. Versions here are
- * {@link Revision}s, which hold both: a later one is greater, whatever the platform has lost.
+ * A platform that is restored from an older copy assigns version numbers again and increments its era. Versions here
+ * are {@link Revision}s, which contain both, so that a later version is greater even across a restore.
  */
 import type { HostList, Revision } from '@hingescale/core';
 import { eraOf, numberInEra, revisionIn, STORE_ERA_HEADER, StoreEras } from '@hingescale/core';
@@ -17,7 +17,7 @@
 export type ObjectKind =
   'configuration' | 'configuration-part' | 'evacuation' | 'ledger' | 'lease' | 'audit';
 
-/** An object as stored. */
+/** An object as stored in the platform, with the version of its last change. */
 export type StoredObject<T> = {
   readonly kind: ObjectKind;
   readonly name: string;
@@ -25,18 +25,18 @@
   readonly value: T;
 };
 
-/** Objects of a kind that changed after a version of the store. */
+/** The platform's version at a response, and the objects of a kind that changed after the requested version. */
 export type WatchResult<T> = {
   readonly version: Revision;
   readonly objects: readonly StoredObject<T>[];
 };
 
-/** Options of a client. */
+/** Options of a platform client; the timeout is that of one call, without the wait of a watch. */
 export type PlatformClientOptions = {
   readonly url: string;
   readonly timeoutMs: number;
   readonly log: Log;
-  /** Called for every call, for the counters. */
+  /** Called after every call with its outcome: `ok` or the reason of the error. */
   readonly onCall?: (call: 'read' | 'write' | 'watch', outcome: string) => void;
 };
 
@@ -46,25 +46,27 @@
   readonly kind: 'read' | 'write' | 'watch';
   readonly headers?: Readonly<Record<string, string>>;
   readonly body?: string;
+  /** Time added to the timeout, in milliseconds: the wait of a watch. */
   readonly extraMs?: number;
   readonly signal?: AbortSignal;
 };
 
-/** An answer's content as the platform sends it, with the era of the answer. */
-type Sent<T> = { readonly content: T; readonly era: number };
+/** Content of a response, with versions as the platform sends them, and the era of the response. */
+type PlatformResponse<T> = { readonly content: T; readonly era: number };
 
-const EVERYTHING: Revision = 0;
+const BEFORE_ALL_CHANGES: Revision = 0;
+const HTTP_FIRST_NON_SUCCESS = 300;
 const HTTP_NOT_FOUND = 404;
-const HTTP_CONFLICT = 412;
-const HTTP_TOO_MANY = 429;
+const HTTP_PRECONDITION_FAILED = 412;
+const HTTP_TOO_MANY_REQUESTS = 429;
 
-/** Calls the platform; every failure is a typed error in the result. */
+/** Calls the platform; returns each failure as a {@link PlatformError} in the result. */
 export class PlatformClient {
   readonly #options: PlatformClientOptions;
   readonly #agent: Agent;
   readonly #eras = new StoreEras();
-  /** Ends watches that were sent in an earlier era: they wait for versions that may be given out much later. */
-  #eraEnd = new AbortController();
+  /** Aborts watches sent in an earlier era: they wait for versions that the platform may reach only much later. */
+  #eraAbort = new AbortController();
 
   constructor(options: PlatformClientOptions) {
     this.#options = options;
@@ -74,7 +76,7 @@
     });
   }
 
-  /** The latest era of the platform's answers. */
+  /** The latest era of any response of the platform. */
   get era(): number {
     return this.#eras.latest;
   }
@@ -82,86 +84,96 @@
   /** Reads an object. */
   async read<T>(kind: ObjectKind, name: string): Promise<Result<StoredObject<T>, PlatformError>> {
     const path = objectPath(kind, name);
-    const sent = await this.#call<StoredObject<T>>({ method: 'GET', path, kind: 'read' });
-    return decoded(sent, objectIn);
+    const response = await this.#call<StoredObject<T>>({ method: 'GET', path, kind: 'read' });
+    return decodeResponse(response, toStoredObject);
   }
 
-  /** Creates an object; fails with `conflict` when it is there. */
+  /** Creates an object; fails with `conflict` when it already exists. */
   async create<T>(
     kind: ObjectKind,
     name: string,
     value: T,
   ): Promise<Result<StoredObject<T>, PlatformError>> {
-    const sent = await this.#write(kind, name, value, { 'if-none-match': '*' });
-    return decoded(sent, objectIn);
+    const response = await this.#write(kind, name, value, { 'if-none-match': '*' });
+    return decodeResponse(response, toStoredObject);
   }
 
-  /** Updates an object; fails with `conflict` when its version is another. */
+  /** Updates an object; fails with `conflict` when it has another version than the given one. */
   async update<T>(
     kind: ObjectKind,
     name: string,
     version: Revision,
     value: T,
   ): Promise<Result<StoredObject<T>, PlatformError>> {
-    const over = new PlatformError('conflict', 'the version is of an earlier era');
+    const conflict = new PlatformError(
+      'conflict',
+      'the version is from before the platform was restored',
+    );
     if (this.#eras.isOver(version)) {
-      return Result.err(over);
+      return Result.err(conflict);
     }
     const condition = { 'if-match': `"${numberInEra(version)}"` };
-    const sent = await this.#write(kind, name, value, condition);
-    // In a later era another state of the object has this number, and that is what was replaced.
-    const isOfLaterEra = sent.isOk && sent.value.era !== eraOf(version);
-    return isOfLaterEra ? Result.err(over) : decoded(sent, objectIn);
+    const response = await this.#write(kind, name, value, condition);
+    // In a later era the same number belongs to another state of the object, and the update replaced that state.
+    const isOfLaterEra = response.isOk && response.value.era !== eraOf(version);
+    return isOfLaterEra ? Result.err(conflict) : decodeResponse(response, toStoredObject);
   }
 
-  /** All objects of a kind that changed after a version; waits up to `waitMs` for one. */
+  /** Returns all objects of a kind that changed after a version; waits up to `waitMs` for a change. */
   watch<T>(
     kind: ObjectKind,
     after: Revision,
     waitMs: number,
     signal?: AbortSignal,
   ): Promise<Result<WatchResult<T>, PlatformError>> {
-    return this.#follow<WatchResult<T>>(`/v1/watch/${kind}`, after, waitMs, signal).then(sent =>
-      decoded(sent, ({ content, era }) => ({
-        version: revisionIn(era, content.version),
-        objects: content.objects.map(object => objectIn({ content: object, era })),
-      })),
+    return this.#watchPath<WatchResult<T>>(`/v1/watch/${kind}`, after, waitMs, signal).then(
+      response =>
+        decodeResponse(response, ({ content, era }) => ({
+          version: revisionIn(era, content.version),
+          objects: content.objects.map(object => toStoredObject({ content: object, era })),
+        })),
     );
   }
 
-  /** The host list once it is newer than a version; waits up to `waitMs` for that. */
+  /** Returns the host list; waits up to `waitMs` for one that is newer than a version. */
   watchHosts(
     after: Revision,
     waitMs: number,
     signal?: AbortSignal,
   ): Promise<Result<HostList, PlatformError>> {
-    return this.#follow<HostList>('/v1/hosts', after, waitMs, signal).then(sent =>
-      decoded(sent, ({ content, era }) => ({
+    return this.#watchPath<HostList>('/v1/hosts', after, waitMs, signal).then(response =>
+      decodeResponse(response, ({ content, era }) => ({
         ...content,
         version: revisionIn(era, content.version),
       })),
     );
   }
 
-  // Changes of a later era don't say what became different from the copy on: all is asked for instead.
-  async #follow<T>(
+  // The changes after a version of an earlier era don't show what the restore reverted, so after a change of era all
+  // objects are requested.
+  async #watchPath<T>(
     path: string,
     after: Revision,
     waitMs: number,
     signal: AbortSignal | undefined,
-  ): Promise<Result<Sent<T>, PlatformError>> {
-    const goesOn = after !== EVERYTHING && eraOf(after) === this.era;
-    const sent = await this.#askAfter<T>(path, goesOn ? after : EVERYTHING, waitMs, signal);
-    const isOfLaterEra = goesOn && sent.isOk && sent.value.era !== eraOf(after);
-    return isOfLaterEra ? this.#askAfter<T>(path, EVERYTHING, 0, signal) : sent;
+  ): Promise<Result<PlatformResponse<T>, PlatformError>> {
+    const isSameEra = after !== BEFORE_ALL_CHANGES && eraOf(after) === this.era;
+    const response = await this.#requestChanges<T>(
+      path,
+      isSameEra ? after : BEFORE_ALL_CHANGES,
+      waitMs,
+      signal,
+    );
+    const isOfLaterEra = isSameEra && response.isOk && response.value.era !== eraOf(after);
+    return isOfLaterEra ? this.#requestChanges<T>(path, BEFORE_ALL_CHANGES, 0, signal) : response;
   }
 
-  #askAfter<T>(
+  #requestChanges<T>(
     path: string,
     after: Revision,
     waitMs: number,
     signal: AbortSignal | undefined,
-  ): Promise<Result<Sent<T>, PlatformError>> {
+  ): Promise<Result<PlatformResponse<T>, PlatformError>> {
     return this.#call({
       method: 'GET',
       path: `${path}?after=${numberInEra(after)}&wait=${waitMs}`,
@@ -181,7 +193,7 @@
     name: string,
     value: T,
     headers: Readonly<Record<string, string>>,
-  ): Promise<Result<Sent<StoredObject<T>>, PlatformError>> {
+  ): Promise<Result<PlatformResponse<StoredObject<T>>, PlatformError>> {
     const body = JSON.stringify(value);
     return this.#call({
       method: 'PUT',
@@ -192,7 +204,7 @@
     });
   }
 
-  async #call<T>(call: Call): Promise<Result<Sent<T>, PlatformError>> {
+  async #call<T>(call: Call): Promise<Result<PlatformResponse<T>, PlatformError>> {
     const result = await this.#send<T>(call);
     const outcome = result.isOk ? 'ok' : result.error.reason;
     this.#options.onCall?.(call.kind, outcome);
@@ -200,61 +212,61 @@
     return result;
   }
 
-  #signalOf(call: Call): AbortSignal {
+  #createSignal(call: Call): AbortSignal {
     const timeout = timeoutSignal(this.#options.timeoutMs + (call.extraMs ?? 0));
-    const ends = call.kind === 'watch' ? [timeout, this.#eraEnd.signal] : [timeout];
-    return AbortSignal.any(call.signal === undefined ? ends : [...ends, call.signal]);
+    const signals = call.kind === 'watch' ? [timeout, this.#eraAbort.signal] : [timeout];
+    return AbortSignal.any(call.signal === undefined ? signals : [...signals, call.signal]);
   }
 
-  #eraIn(header: string | string[] | undefined): number {
-    const before = this.era;
+  #recordEra(header: string | string[] | undefined): number {
+    const previousEra = this.era;
     const era = this.#eras.note(header);
-    if (this.era > before) {
-      this.#eraEnd.abort();
-      this.#eraEnd = new AbortController();
+    if (this.era > previousEra) {
+      this.#eraAbort.abort();
+      this.#eraAbort = new AbortController();
     }
     return era;
   }
 
-  async #send<T>(call: Call): Promise<Result<Sent<T>, PlatformError>> {
-    const signal = this.#signalOf(call);
+  async #send<T>(call: Call): Promise<Result<PlatformResponse<T>, PlatformError>> {
+    const signal = this.#createSignal(call);
     try {
-      const response = await request(this.#options.url + call.path, {
+      const reply = await request(this.#options.url + call.path, {
         method: call.method,
         dispatcher: this.#agent,
         headers: { 'content-type': 'application/json', ...call.headers },
         body: call.body,
         signal,
       });
-      const text = await response.body.text();
-      const era = this.#eraIn(response.headers[STORE_ERA_HEADER]);
-      return readAnswer<T>(response.statusCode, text).map(content => ({ content, era }));
+      const text = await reply.body.text();
+      const era = this.#recordEra(reply.headers[STORE_ERA_HEADER]);
+      return parseResponse<T>(reply.statusCode, text).map(content => ({ content, era }));
     } catch (error) {
       return Result.err(toPlatformError(error as Error));
     }
   }
 }
 
-// A version that can not be is an answer that can not be read.
-function decoded<T, R>(
-  sent: Result<Sent<T>, PlatformError>,
-  decode: (sent: Sent<T>) => R,
+// A version that is out of bounds makes the response invalid, which is an `unknown` error.
+function decodeResponse<T, R>(
+  response: Result<PlatformResponse<T>, PlatformError>,
+  decode: (response: PlatformResponse<T>) => R,
 ): Result<R, PlatformError> {
   try {
-    return sent.map(decode);
+    return response.map(decode);
   } catch (error) {
     return Result.err(new PlatformError('unknown', (error as Error).message));
   }
 }
 
-function objectIn<T>({ content, era }: Sent<StoredObject<T>>): StoredObject<T> {
+function toStoredObject<T>({ content, era }: PlatformResponse<StoredObject<T>>): StoredObject<T> {
   return { ...content, version: revisionIn(era, content.version) };
 }
 
 /** Settings of the platform that a process reads from its `[platform]` section. */
 export type PlatformSection = { readonly url: string; readonly 'timeout-ms': number };
 
-/** The client of a process, with its calls counted. */
+/** Creates the platform client of a process, which counts its calls in the metrics. */
 export function connectPlatform(
   section: PlatformSection,
   log: Log,
@@ -274,25 +286,27 @@
   return `/v1/objects/${kind}/${encodeURIComponent(name)}`;
 }
 
-function readAnswer<T>(status: number, text: string): Result<T, PlatformError> {
+function parseResponse<T>(status: number, text: string): Result<T, PlatformError> {
   if (status === HTTP_NOT_FOUND) {
-    return Result.err(new PlatformError('missing', 'the object is not there'));
+    return Result.err(new PlatformError('missing', 'the object does not exist'));
   }
-  if (status === HTTP_CONFLICT) {
+  if (status === HTTP_PRECONDITION_FAILED) {
     return Result.err(new PlatformError('conflict', text));
   }
-  if (status === HTTP_TOO_MANY) {
-    return Result.err(new PlatformError('rate-limited', 'too many calls'));
+  if (status === HTTP_TOO_MANY_REQUESTS) {
+    return Result.err(
+      new PlatformError('rate-limited', 'the platform refused the call: too many calls'),
+    );
   }
-  if (status >= 300) {
+  if (status >= HTTP_FIRST_NON_SUCCESS) {
     return Result.err(new PlatformError('unknown', `status ${status}: ${text}`));
   }
   return Result.ok(JSON.parse(text) as T);
 }
 
-// Only a connection that was never made is sure to have had no effect.
+// A call is certain to have had no effect only if the connection was never established.
 function toPlatformError(error: Error): PlatformError {
   const code = (error as Error & { code?: string }).code;
-  const never = code === 'ECONNREFUSED' || code === 'UND_ERR_CONNECT_TIMEOUT';
-  return new PlatformError(never ? 'unreachable' : 'unknown', error.message);
+  const neverConnected = code === 'ECONNREFUSED' || code === 'UND_ERR_CONNECT_TIMEOUT';
+  return new PlatformError(neverConnected ? 'unreachable' : 'unknown', error.message);
 }
--- a/packages/object-store/src/platform-error.ts
+++ b/packages/object-store/src/platform-error.ts
@@ -1,14 +1,14 @@
-/** Errors of the platform's object API. */
+/** Error type for calls to the platform's object API. */
 
 /**
- * Why a call failed. `conflict`: the object has another version. `missing`: it is not there.
- * `rate-limited`: too many calls. `unreachable`: the call was never sent. `unknown`: the call may
- * have taken effect, its answer was lost.
+ * Why a call failed. `conflict`: the object has another version. `missing`: it does not exist.
+ * `rate-limited`: the platform refused the call because of too many calls. `unreachable`: the call was never sent.
+ * `unknown`: the response was lost or invalid, so the call may have taken effect.
  */
 export type PlatformErrorReason =
   'conflict' | 'missing' | 'rate-limited' | 'unreachable' | 'unknown';
 
-/** A failed call to the platform. */
+/** Describes a failed call to the platform; `reason` says whether it may have taken effect. */
 export class PlatformError extends Error {
   readonly reason: PlatformErrorReason;
 
--- a/packages/object-store/src/restore.ts
+++ b/packages/object-store/src/restore.ts
@@ -1,4 +1,4 @@
-/** Writes again what the platform has lost by coming back from an older copy. */
+/** Writes objects again that the platform lost when it was restored from an older copy. */
 import type { ConfigurationHead, ConfigurationRevision, Revision } from '@hingescale/core';
 import { eraOf } from '@hingescale/core';
 import type { Result } from 'true-myth';
@@ -8,7 +8,10 @@
 import type { PlatformError } from './platform-error.js';
 import type { ObjectWatcher } from './watcher.js';
 
-/** Writes the lost objects of a kind that `isOwn` names; those that fail are left for the next time. */
+/**
+ * Writes the lost objects of a kind that `isOwn` selects and returns the names of those written. Objects whose write
+ * fails stay lost, so that the next call tries them again.
+ */
 export async function restoreLost<T>(
   client: PlatformClient,
   kind: ObjectKind,
@@ -26,7 +29,7 @@
   return restored;
 }
 
-/** Writes the configuration in force again where the platform has lost it; true when it was written. */
+/** Writes the configuration in force again if the platform has lost it; returns true when it was written. */
 export async function restoreConfiguration(
   client: PlatformClient,
   watcher: ObjectWatcher<ConfigurationHead>,
@@ -44,17 +47,17 @@
   return restored.length > 0;
 }
 
-// Under the version of the copy's object; one that the copy lacks is created.
+// Updates the object that the copy holds, at the copy's version; creates an object that the copy lacks.
 function writeAgain<T>(
   client: PlatformClient,
   kind: ObjectKind,
   { name, version, value }: StoredObject<T>,
 ): Promise<Result<StoredObject<T>, PlatformError>> {
-  return isCurrent(client, version)
+  return isOfCurrentEra(client, version)
     ? client.update(kind, name, version, value)
     : client.create(kind, name, value);
 }
 
-function isCurrent(client: PlatformClient, version: Revision): boolean {
+function isOfCurrentEra(client: PlatformClient, version: Revision): boolean {
   return eraOf(version) === client.era;
 }
--- a/packages/object-store/src/watcher.ts
+++ b/packages/object-store/src/watcher.ts
@@ -1,4 +1,4 @@
-/** Watches of one kind of object, and of the host list, as tasks that keep the newest state. */
+/** Tasks that watch one kind of object or the host list and keep the newest state. */
 import type { Host, Revision } from '@hingescale/core';
 import { isOfEarlierEra, numberInEra } from '@hingescale/core';
 import { sleep, Task } from '@hingescale/runtime';
@@ -7,21 +7,21 @@
 import type { ObjectKind, PlatformClient, StoredObject } from './platform-client.js';
 import type { PlatformError } from './platform-error.js';
 
-/** What a watcher tells. */
+/** Events of an object watcher; `changed` carries the objects with a newer state. */
 export type WatcherMessages<T> = { changed: readonly StoredObject<T>[] };
 
 const RETRY_MS = 250;
 
-/** Repeats a watch until the task stops; `take` gets each answer that came. */
-async function follow<R>(
+/** Repeats a watch until the signal aborts, and passes each successful response to `handle`. */
+async function repeatWatch<R>(
   watch: () => Promise<Result<R, PlatformError>>,
-  take: (answer: R) => Promise<void>,
+  handle: (response: R) => Promise<void>,
   signal: AbortSignal,
 ): Promise<void> {
   while (!signal.aborted) {
-    const answer = await watch();
-    if (answer.isOk) {
-      await take(answer.value);
+    const response = await watch();
+    if (response.isOk) {
+      await handle(response.value);
     } else {
       await sleep(RETRY_MS, signal);
     }
@@ -29,16 +29,18 @@
 }
 
 /**
- * Keeps the objects of a kind; never goes back to an older version of one, also where the platform does. What the
- * platform has lost by coming back from an older copy is kept until somebody writes it again.
+ * Keeps the objects of a kind and never replaces one by an older state, even if the platform itself was restored from
+ * an older copy. Objects that the platform lost in this way are kept and listed in `lost` until they are written
+ * again.
  */
 export class ObjectWatcher<T> extends Task<WatcherMessages<T>> {
   readonly #client: PlatformClient;
   readonly #kind: ObjectKind;
   readonly #waitMs: number;
   readonly #objects = new Map<string, StoredObject<T>>();
-  /** Objects that the platform has in an earlier state. */
+  /** Names of the objects that the platform holds in an earlier state than this watcher. */
   readonly #reverted = new Set<string>();
+  /** Latest version of the platform that a response had; the next watch asks for later changes. */
   #after: Revision = 0;
   #synced = false;
 
@@ -49,7 +51,7 @@
     this.#waitMs = waitMs;
   }
 
-  /** True once the platform has answered. */
+  /** True once the platform has responded. */
   get synced(): boolean {
     return this.#synced;
   }
@@ -59,7 +61,10 @@
     return this.#objects;
   }
 
-  /** Objects that the platform has lost, or has in an earlier state under the version given here. */
+  /**
+   * Objects that the platform has lost, and objects that it holds in an earlier state; the latter with the newest value
+   * and with the version at which the platform holds the earlier state.
+   */
   get lost(): readonly StoredObject<T>[] {
     return [...this.#objects.values()].filter(
       ({ name, version }) => this.#reverted.has(name) || isOfEarlierEra(version, this.#after),
@@ -69,8 +74,8 @@
   /** Starts watching. */
   start(): void {
     this.run(() =>
-      follow(
-        // The first call does not wait, so that an empty kind counts as known at once.
+      repeatWatch(
+        // The first call does not wait, so that the watcher is synced at once when there are no objects.
         () =>
           this.#client.watch<T>(
             this.#kind,
@@ -78,22 +83,22 @@
             this.#synced ? this.#waitMs : 0,
             this.signal,
           ),
-        async answer => {
-          this.#after = Math.max(this.#after, answer.version);
+        async response => {
+          this.#after = Math.max(this.#after, response.version);
           this.#synced = true;
-          await this.take(answer.objects);
+          await this.take(response.objects);
         },
         this.signal,
       ),
     );
   }
 
-  /** Takes objects, also from the watcher's owner after a write of its own. */
+  /** Merges objects into the known state; the watcher's owner also passes the objects that it has written. */
   async take(objects: readonly StoredObject<T>[]): Promise<void> {
     const newer = objects.filter(
       object => object.version > (this.#objects.get(object.name)?.version ?? 0),
     );
-    const changed = newer.filter(object => !this.#keepsLater(object));
+    const changed = newer.filter(object => !this.#keepIfReverted(object));
     for (const object of changed) {
       this.#objects.set(object.name, object);
       this.#reverted.delete(object.name);
@@ -103,8 +108,10 @@
     }
   }
 
-  // Whatever the copy holds has a number up to that of the copy, and so below that of any later change.
-  #keepsLater(object: StoredObject<T>): boolean {
+  // When the platform reports an earlier state of an object than the known one after a restore, keeps the known value
+  // under the reported version and returns true. All numbers in the copy are below those of any change made after it
+  // was taken, so that a lower number means an earlier state.
+  #keepIfReverted(object: StoredObject<T>): boolean {
     const known = this.#objects.get(object.name);
     if (known === undefined || !isOfEarlierEra(known.version, object.version)) {
       return false;
@@ -118,10 +125,10 @@
   }
 }
 
-/** What the host watcher tells. */
+/** Events of the host watcher; `changed` carries the new host list. */
 export type HostWatcherMessages = { changed: readonly Host[] };
 
-/** Keeps the platform's list of hosts. */
+/** Watches the platform's host list and keeps its newest version. */
 export class HostWatcher extends Task<HostWatcherMessages> {
   readonly #client: PlatformClient;
   readonly #waitMs: number;
@@ -135,7 +142,7 @@
     this.#waitMs = waitMs;
   }
 
-  /** True once the platform has answered. */
+  /** True once the platform has responded. */
   get synced(): boolean {
     return this.#synced;
   }
@@ -148,7 +155,7 @@
   /** Starts watching. */
   start(): void {
     this.run(() =>
-      follow(
+      repeatWatch(
         () => this.#client.watchHosts(this.#version, this.#synced ? this.#waitMs : 0, this.signal),
         async list => {
           this.#synced = true;
