--- a/packages/entry/src/entry-host-options.ts
+++ b/packages/entry/src/entry-host-options.ts
@@ -1,4 +1,4 @@
-/** What a platform's adapter gives an entry host. */
+/** Options of an entry host. */
 import type { ConfigurationReader } from './configuration/configuration-holder.js';
 import type { HostOrders } from './groups/host-orders.js';
 import type { HostReader } from './hosts/host-registry.js';
@@ -7,15 +7,16 @@
 import type { Log } from './server/log.js';
 import type { ObjectStore } from './store/object-store.js';
 
-/** What the adapter of a platform brings. */
+/** Settings, and the parts that a platform's adapter supplies. */
 export type EntryHostOptions = {
   readonly settings: EntrySettings;
   readonly store: ObjectStore;
   readonly orders: HostOrders;
   readonly headers: RelayHeaders;
   readonly readConfiguration: ConfigurationReader;
-  /** Name of the object that holds the configuration. */
+  /** Name of the store object that holds the configuration. */
   readonly configurationName: string;
+  /** Reads the entry of a host from a store object. */
   readonly readHost: HostReader;
   readonly log: Log;
 };
--- a/packages/entry/src/entry-host.ts
+++ b/packages/entry/src/entry-host.ts
@@ -1,4 +1,4 @@
-/** An entry host: its tasks, wired together. */
+/** Creates the components of an entry host, connects them, and starts and stops them. */
 import { randomUUID } from 'node:crypto';
 import type { Server } from 'node:http';
 
@@ -44,14 +44,14 @@
 import { storeReader } from './store/kind-reader.js';
 import { OBJECT_KINDS } from './store/object-store.js';
 
-/** A running entry host. */
+/** An entry host: relays requests of callers, and sends orders while it is the lease holder. */
 export class EntryHost {
   readonly #options: EntryHostOptions;
   readonly #instance: string;
   #settings: EntrySettings;
   readonly #metrics = newMetrics();
   readonly #counters = this.#metrics.counters;
-  readonly #holder: ConfigurationHolder;
+  readonly #configuration: ConfigurationHolder;
   readonly #registry: HostRegistry;
   readonly #activities = new HostActivities();
   readonly #stalls = new StallMonitor();
@@ -74,7 +74,7 @@
   readonly #intake: RequestIntake;
   readonly #callers: CallerServer;
   readonly #peers: Peers | undefined;
-  readonly #kinds: FollowedKinds;
+  readonly #watches: FollowedKinds;
   /** Lists for operators, by path. */
   readonly #lists = { '/quarantine': () => this.#quarantine.requests };
   readonly #sideServers: Server[] = [];
@@ -87,7 +87,7 @@
     this.#settings = options.settings;
     const { settings, log, store } = options;
     this.#instance = `${settings.name}-${randomUUID().slice(0, 8)}`;
-    this.#holder = new ConfigurationHolder({
+    this.#configuration = new ConfigurationHolder({
       read: options.readConfiguration,
       objectName: options.configurationName,
       log,
@@ -96,19 +96,19 @@
       settings: () => this.#settings,
       members: settings.peers && (() => this.#peers?.membership.view),
       leaves: host => {
-        this.#hostLeaves(host);
+        this.#handleLeavingHost(host);
       },
       limitsReported: () => this.#peers?.shareLimits(),
       leavingReported: () => this.#peers?.shareLeaving(),
-      slowStartOf: service => this.#holder.table?.service(service)?.slowStart,
+      slowStartOf: service => this.#configuration.table?.service(service)?.slowStart,
       log,
       metrics: this.#metrics,
     });
-    const batchTaken = (batch: HostBatch): void => {
+    const onBatch = (batch: HostBatch): void => {
       this.#rules.slowStart.batchTaken(batch);
       this.#activities.departed(batch.departed);
     };
-    this.#registry = new HostRegistry(options.readHost, log, batchTaken, this.#counters);
+    this.#registry = new HostRegistry(options.readHost, log, onBatch, this.#counters);
     options.orders.onAnswer(noticeListener(options.headers, this.#rules));
     this.#lease = new LeaseTask({
       store,
@@ -118,10 +118,10 @@
       eligible: () => this.#peers?.mayLead ?? true,
       log,
     });
-    this.#quarantine = this.#makeQuarantine();
-    this.#peers = this.#makePeers();
-    this.#kinds = this.#makeKinds();
-    this.#coordinator = this.#makeCoordinator();
+    this.#quarantine = this.#createQuarantine();
+    this.#peers = this.#createPeers();
+    this.#watches = this.#createWatches();
+    this.#coordinator = this.#createCoordinator();
     this.#limits = new ServiceLimits({
       retries: liveRetryBounds(() => this.#settings.bounds),
       hosts: () => this.#peers?.membership.count,
@@ -141,30 +141,30 @@
         counters: this.#counters,
       }),
     });
-    this.#intake = new RequestIntake(this.#holder, this.#relayServices());
+    this.#intake = new RequestIntake(this.#configuration, this.#relayServices());
     this.#callers = new CallerServer((request, response) => {
       this.#intake.handle(request, response);
     });
   }
 
-  /** True while new callers are welcome. */
+  /** True while this host accepts new callers. */
   get ready(): boolean {
-    const isInformed = this.#hostsKnown && this.#rules.evacuated.isKnown;
-    return !this.#stopping && this.#holder.table !== undefined && isInformed;
+    const hostsAndEvacuationsKnown = this.#hostsKnown && this.#rules.evacuated.isKnown;
+    return !this.#stopping && this.#configuration.table !== undefined && hostsAndEvacuationsKnown;
   }
 
-  /** Starts all tasks and listens. */
+  /** Starts all tasks and begins to listen. */
   async start(): Promise<void> {
     const { settings, log } = this.#options;
     await this.#peers?.start();
-    this.#kinds.start();
-    this.#ignoreLeaps = respondToLeaps({ kinds: this.#kinds, log, counters: this.#counters });
+    this.#watches.start();
+    this.#ignoreLeaps = respondToLeaps({ kinds: this.#watches, log, counters: this.#counters });
     this.#coordinator.start();
     runTask(log, 'lease', this.#competeForLease());
     runTask(log, 'quarantine', this.#quarantine.run());
     await this.#callers.listen(settings.callers.ip, settings.callers.port);
-    const offered = { isReady: () => this.ready, metrics: this.#metrics, lists: this.#lists };
-    this.#sideServers.push(...(await startSideServers(settings, offered)));
+    const sources = { isReady: () => this.ready, metrics: this.#metrics, lists: this.#lists };
+    this.#sideServers.push(...(await startSideServers(settings, sources)));
     log.info('entry host started', {
       instance: this.#instance,
       startMs: Math.round(monotonicMs()),
@@ -172,8 +172,8 @@
   }
 
   /**
-   * Takes changed settings without a break for any caller. Bounds of keys, retries and stops hold from
-   * now on; all others, addresses above all, from the next start.
+   * Applies changed settings without interrupting callers. The bounds that are read at each use, such as those of
+   * keys, retries and stops, take effect immediately; all other settings, notably addresses, after a restart.
    */
   applySettings(settings: EntrySettings): void {
     const { changed, afterRestart } = changedSettings(this.#settings, settings);
@@ -184,7 +184,7 @@
     });
   }
 
-  /** Planned stop: no longer ready, requests in progress finish, then everything ends. */
+  /** Planned stop: reports not ready, lets requests in progress finish, then stops everything. */
   async stop(): Promise<void> {
     const { log } = this.#options;
     log.info('entry host stopping', { open: this.#intake.open });
@@ -198,7 +198,7 @@
     this.end();
   }
 
-  /** Ends at once: what is in progress is cut. */
+  /** Stops immediately and cuts off requests in progress. */
   end(): void {
     this.#stopping = true;
     this.#ignoreLeaps?.();
@@ -206,7 +206,7 @@
     this.#lease.abandon();
     this.#callers.close();
     this.#quarantine.stop();
-    this.#kinds.stop();
+    this.#watches.stop();
     this.#peers?.end();
     this.#sideServers.forEach(server => server.close());
     this.#limits.close();
@@ -214,7 +214,7 @@
     this.#options.store.close();
   }
 
-  #makeQuarantine(): RequestQuarantine {
+  #createQuarantine(): RequestQuarantine {
     const { store, log } = this.#options;
     const { connects } = this.#activities;
     return new RequestQuarantine({
@@ -238,7 +238,7 @@
     });
   }
 
-  #makePeers(): Peers | undefined {
+  #createPeers(): Peers | undefined {
     const { settings, store, log } = this.#options;
     const { peers, name, failureDomain } = settings;
     if (peers === undefined) {
@@ -250,7 +250,7 @@
       seeds: peers.seeds,
       key: peers.key,
       store,
-      watchOf: kind => this.#kinds.of(kind),
+      watchOf: kind => this.#watches.of(kind),
       ownLoads: () => this.#activities.loads(),
       ownWork: () => this.#demand.counts(),
       orderGiver: () => (this.#lease.term === undefined ? this.#lease.holderHost : name),
@@ -279,31 +279,31 @@
     });
   }
 
-  #makeCoordinator(): Coordinator {
+  #createCoordinator(): Coordinator {
     const { orders, log, settings } = this.#options;
     return new Coordinator({
       orders,
       registry: this.#registry,
       lease: this.#lease,
-      isReady: () => this.ready && this.#seesMembers,
+      isReady: () => this.ready && this.#followsAllHosts,
       profileOf: service =>
-        this.#demand.profileOf(service, this.#holder.table?.service(service)?.engine),
-      inTouchForMs: () => this.#kinds.of(OBJECT_KINDS.hosts)?.inTouchForMs,
+        this.#demand.profileOf(service, this.#configuration.table?.service(service)?.engine),
+      inTouchForMs: () => this.#watches.of(OBJECT_KINDS.hosts)?.inTouchForMs,
       loadWindowMs: settings.bounds.loadWindowMs,
       mayLoadFreely: service => this.#intake.total === 0 && !this.#demand.hasRequests(service),
       isEvacuated: this.#rules.evacuated.isEvacuated,
-      coldMsOf: service => this.#holder.table?.service(service)?.slowStart?.coldMs ?? 0,
+      coldMsOf: service => this.#configuration.table?.service(service)?.slowStart?.coldMs ?? 0,
       log,
       counters: this.#counters,
     });
   }
 
-  #makeKinds(): FollowedKinds {
+  #createWatches(): FollowedKinds {
     const members = this.#peers?.membership.observer;
     return new FollowedKinds({
       readers: this.#peers?.readers ?? onlyReader(storeReader(this.#options.store)),
       observers: {
-        [OBJECT_KINDS.configuration]: configurationObserver(this.#holder, () => {
+        [OBJECT_KINDS.configuration]: configurationObserver(this.#configuration, () => {
           this.#applyConfiguration();
         }),
         [OBJECT_KINDS.hosts]: hostsObserver(this.#registry, () => {
@@ -331,7 +331,7 @@
   }
 
   #applyConfiguration(): void {
-    const table = this.#holder.table;
+    const table = this.#configuration.table;
     if (table === undefined) {
       return;
     }
@@ -339,9 +339,9 @@
     this.#coordinator.follow(table.services);
   }
 
-  // The order giver asks the members itself then, and hears the same: the group is formed anew without this host
-  // before its entry says so.
-  #hostLeaves(host: HostIncarnation): void {
+  // On suspicion the lease holder queries the members itself and receives the same notice, so it forms the group
+  // again without the leaving host before that host's entry in the store shows that it leaves.
+  #handleLeavingHost(host: HostIncarnation): void {
     this.#registry.noteLeaving(host);
     const entry = this.#registry.get(host.id);
     if (entry !== undefined) {
@@ -349,18 +349,18 @@
     }
   }
 
-  // Plans need all hosts, which this one may not have followed before it took the lease.
-  get #seesMembers(): boolean {
-    return this.#kinds.of(OBJECT_KINDS.hosts)?.view !== 'routing';
+  // Plans need all hosts, which this host may not have followed before it acquired the lease.
+  get #followsAllHosts(): boolean {
+    return this.#watches.of(OBJECT_KINDS.hosts)?.view !== 'routing';
   }
 
   #lacksMember(group: ReplicaGroup): boolean {
-    const names = this.#seesMembers ? this.#lacking.names : this.#peers?.toldLacking;
+    const names = this.#followsAllHosts ? this.#lacking.names : this.#peers?.toldLacking;
     return names?.has(group.name) ?? false;
   }
 
   #allGroups(): readonly ReplicaGroup[] {
-    const services = this.#holder.table?.services ?? [];
+    const services = this.#configuration.table?.services ?? [];
     return services.flatMap(service => this.#chooser.groupsOf(service.name));
   }
 
@@ -390,8 +390,8 @@
         this.#suspicions.suspect(host, group?.name, isUnreachable);
       },
       isUnreachable: target => this.#outlier(target, monotonicMs())?.isUnreachable ?? false,
-      keysHold: () => this.#holder.keysHold(this.#settings.bounds),
-      knowledge: () => knowledgeOf(this.#holder, this.#kinds),
+      keysHold: () => this.#configuration.keysHold(this.#settings.bounds),
+      knowledge: () => knowledgeOf(this.#configuration, this.#watches),
       log,
       counters: this.#counters,
       latencies: this.#metrics.latencies,
--- a/packages/entry/src/index.ts
+++ b/packages/entry/src/index.ts
@@ -1,4 +1,4 @@
-/** The entry host: relays callers' requests and gives orders to model hosts. */
+/** The entry host: relays callers' requests and sends orders to model hosts. */
 export * from './configuration/configuration-holder.js';
 export * from './configuration/route-table.js';
 export * from './configuration/serving-configuration.js';
--- a/packages/entry/src/server/caller-server.ts
+++ b/packages/entry/src/server/caller-server.ts
@@ -1,21 +1,24 @@
-/** The HTTP server for callers, with the limits of the configuration and a drain that cuts nothing. */
+/** The HTTP server for callers. It applies the configured timeouts, and drains without cutting off requests. */
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import { createServer } from 'node:http';
 
 import type { CallerLimits } from '../configuration/serving-configuration.js';
 
-/** Limits until the first configuration has come. */
+/** Limits that apply until the first configuration is received. */
 const DEFAULT_LIMITS: CallerLimits = {
   maxHeaderBytes: 16_384,
   maxBodyBytes: 4 * 1024 * 1024,
   headerTimeoutMs: 5_000,
   idleTimeoutMs: 20_000,
 };
+/** Largest header section of a request that is accepted, in bytes. */
 const MAX_HEADER_BYTES = 65_536;
-/** Idle connections stay open this much longer than callers may rest. */
+/** Idle connections stay open for this time beyond the configured idle timeout, in milliseconds. */
 const IDLE_MARGIN_MS = 500;
+/** Most connections that wait in the operating system to be accepted. */
+const LISTEN_BACKLOG = 1_024;
 
-/** Answers callers. */
+/** Accepts connections of callers and passes each request to a handler. */
 export class CallerServer {
   readonly #server: Server;
   #draining = false;
@@ -34,39 +37,39 @@
     this.applyLimits(DEFAULT_LIMITS);
   }
 
-  /** Takes the limits of a configuration. */
+  /** Applies the timeouts of a configuration. */
   applyLimits(limits: CallerLimits): void {
     this.#server.headersTimeout = limits.headerTimeoutMs;
     this.#server.keepAliveTimeout = limits.idleTimeoutMs + IDLE_MARGIN_MS;
   }
 
-  /** Listens at an address. */
+  /** Starts to accept connections at an address. */
   listen(ip: string, port: number): Promise<void> {
     return listenAt(this.#server, ip, port);
   }
 
-  /** From now on each answer ends its connection. */
+  /** From now on, the connection is closed after each response. */
   drain(): void {
     this.#draining = true;
   }
 
-  /** Closes connections that wait for nothing, and takes no new ones. */
+  /** Closes idle connections and stops accepting new ones. */
   close(): void {
     this.#server.close();
     this.closeIdle();
   }
 
-  /** Closes connections that wait for nothing. */
+  /** Closes connections without a request in progress. */
   closeIdle(): void {
     this.#server.closeIdleConnections();
   }
 }
 
-/** Listens, or rejects with why it can not. */
+/** Resolves when the server listens; rejects with the error if it cannot. */
 export function listenAt(server: Server, ip: string, port: number): Promise<void> {
   return new Promise((resolve, reject) => {
     server.once('error', reject);
-    server.listen({ host: ip, port, backlog: 1_024 }, () => {
+    server.listen({ host: ip, port, backlog: LISTEN_BACKLOG }, () => {
       server.removeListener('error', reject);
       resolve();
     });
--- a/packages/entry/src/server/elapsed-time.test.ts
+++ b/packages/entry/src/server/elapsed-time.test.ts
@@ -1,10 +1,10 @@
-/** The clock that counts suspensions, with both clocks in the hands of the test. */
+/** Tests the clock that includes suspensions, with a simulated monotonic clock and time of day. */
 import { expect } from 'chai';
 import fc from 'fast-check';
 
 import { ElapsedClock } from './elapsed-time.js';
 
-describe('time that counts suspensions', () => {
+describe('elapsed clock', () => {
   let steady: number;
   let wall: number;
   let clock: ElapsedClock;
@@ -18,21 +18,21 @@
     clock.onLeap(ms => leaps.push(ms));
   });
 
-  function run(ms: number): void {
+  function advance(ms: number): void {
     steady += ms;
     wall += ms;
   }
 
-  it('goes on with the steady clock, and through a suspension with the time of day', () => {
+  it('follows the monotonic clock, and the time of day through a suspension', () => {
     const before = clock.now();
-    run(500);
+    advance(500);
     wall += 10_000;
-    run(20);
+    advance(20);
     expect(clock.now() - before).to.equal(10_520);
     expect(leaps).to.deep.equal([10_000]);
   });
 
-  it('never goes back, and never falls behind what was suspended, however the time of day is set', () => {
+  it('never goes back and includes every suspension, however the time of day is set', () => {
     const step = fc.oneof(
       fc.record({ kind: fc.constant('run' as const), ms: fc.integer({ min: 0, max: 5_000 }) }),
       fc.record({
@@ -48,13 +48,13 @@
         let elapsed = 0;
         for (const { kind, ms } of steps) {
           if (kind === 'run') {
-            run(ms);
+            advance(ms);
             elapsed += ms;
           } else {
             wall += ms;
             elapsed += kind === 'suspend' ? ms : 0;
           }
-          // Asked at each use, as its users do, so that a step and a suspension are not one.
+          // Read after each step, as in production use, so that a step of the time of day cannot cancel a suspension.
           const now = clock.now();
           expect(now).to.be.at.least(last);
           last = now;
@@ -65,16 +65,16 @@
     );
   });
 
-  it('takes no leap for what the time of day is adjusted by', () => {
+  it('does not treat small adjustments of the time of day as leaps', () => {
     for (let second = 0; second < 600; second++) {
-      run(1_000);
+      advance(1_000);
       wall += 0.5;
       clock.now();
     }
     expect(leaps).to.deep.equal([]);
   });
 
-  it('tells nobody who does not want to hear any more', () => {
+  it('does not call a removed listener', () => {
     const listener = (ms: number): void => {
       leaps.push(-ms);
     };
--- a/packages/entry/src/server/elapsed-time.ts
+++ b/packages/entry/src/server/elapsed-time.ts
@@ -1,58 +1,58 @@
 /**
- * Time that also counts while the machine is suspended, for everything that lapses: a lease, a confirmation by the
- * store. The steady clock of `time.ts` stands still meanwhile, so that a process which wakes after a minute would
- * go on as the holder of a lease that others have taken long ago.
+ * A clock that includes the time a machine is suspended, for everything that expires, such as a lease or a
+ * confirmation by the store. The monotonic clock of `time.ts` does not advance during a suspension: with it, a process
+ * that resumes after a minute would continue as lease holder although another host acquired the lease long ago.
  *
- * Node gives no access to a clock that counts a suspension, but the time of day does count it. A leap of it against
- * the steady clock is taken for a suspension. That may be wrong: the time of day can also be set. Then what was
- * known is confirmed anew, which takes a few milliseconds; the other error would honour what has lapsed. (The
- * uptime of the operating system would tell them apart, but not where programs share a machine's uptime under
- * clocks of their own, and is asked for by a system call.) A step of the time of day back by just the length of a
- * suspension hides it.
+ * Node exposes no clock that includes suspensions, but the time of day does. When the time of day advances further
+ * than the monotonic clock, the difference is treated as a suspension. This can be wrong, because the time of day can
+ * also be set. In that case the known state is confirmed again, which takes a few milliseconds; the opposite error
+ * would honour expired state. (The uptime of the operating system would distinguish the two cases, but it needs a
+ * system call, and it fails where programs with clocks of their own share the uptime of one machine.) A suspension
+ * goes undetected if the time of day is set back by exactly its length.
  */
 import { monotonicMs } from './time.js';
 
-/** Both clocks, in milliseconds; replaced in tests. */
+/** The two clocks that are compared, in milliseconds; tests replace them. */
 export type ClockReadings = {
-  /** Stands still while the machine is suspended. */
+  /** Monotonic clock; does not advance while the machine is suspended. */
   readonly steadyMs: () => number;
-  /** Time of day: goes on meanwhile, and may be set. */
+  /** Time of day; advances during a suspension, and can be set. */
   readonly wallMs: () => number;
 };
 
 /**
- * Least leap that counts, in milliseconds. The time of day is adjusted by up to half a millisecond a second, and
- * read in whole milliseconds; limits on what lapses have margins of some hundred.
+ * Smallest difference that is treated as a suspension, in milliseconds. The time of day is adjusted by up to half a
+ * millisecond per second and read in whole milliseconds; expiry limits have margins of a few hundred milliseconds.
  */
-const LEAST_LEAP_MS = 100;
+const MIN_LEAP_MS = 100;
 
 const SYSTEM_CLOCKS: ClockReadings = { steadyMs: monotonicMs, wallMs: () => Date.now() };
 
-/** Told of the length of each suspension, in milliseconds. */
+/** Receives the length of each detected suspension, in milliseconds. */
 export type LeapListener = (leapMs: number) => void;
 
-/** A clock that counts suspensions. */
+/** A clock that includes suspensions, and notifies listeners of them. */
 export class ElapsedClock {
   readonly #clocks: ClockReadings;
   readonly #listeners = new Set<LeapListener>();
   #suspendedMs = 0;
-  #steadyMs: number;
-  #wallMs: number;
+  #lastSteadyMs: number;
+  #lastWallMs: number;
 
   constructor(clocks: ClockReadings = SYSTEM_CLOCKS) {
     this.#clocks = clocks;
-    this.#steadyMs = clocks.steadyMs();
-    this.#wallMs = clocks.wallMs();
+    this.#lastSteadyMs = clocks.steadyMs();
+    this.#lastWallMs = clocks.wallMs();
   }
 
-  /** Milliseconds; only differences mean anything, and only to other values of this clock. */
+  /** Current value in milliseconds; only the difference to another value of the same clock is meaningful. */
   readonly now = (): number => {
     const steadyMs = this.#clocks.steadyMs();
     const wallMs = this.#clocks.wallMs();
-    const leapMs = wallMs - this.#wallMs - (steadyMs - this.#steadyMs);
-    this.#steadyMs = steadyMs;
-    this.#wallMs = wallMs;
-    if (leapMs >= LEAST_LEAP_MS) {
+    const leapMs = wallMs - this.#lastWallMs - (steadyMs - this.#lastSteadyMs);
+    this.#lastSteadyMs = steadyMs;
+    this.#lastWallMs = wallMs;
+    if (leapMs >= MIN_LEAP_MS) {
       this.#suspendedMs += leapMs;
       this.#listeners.forEach(listener => {
         listener(leapMs);
@@ -61,19 +61,19 @@
     return steadyMs + this.#suspendedMs;
   };
 
-  /** Calls the listener at each leap, from within the call of {@link now} that notices it. */
+  /** Adds a listener, which is called at each leap from within the call of {@link now} that detects it. */
   onLeap(listener: LeapListener): void {
     this.#listeners.add(listener);
   }
 
-  /** Ends the calls. */
+  /** Removes a listener. */
   offLeap(listener: LeapListener): void {
     this.#listeners.delete(listener);
   }
 }
 
-/** The clock of this process. */
+/** The clock that this process shares. */
 export const elapsedClock = new ElapsedClock();
 
-/** Milliseconds of the clock of this process, which counts suspensions. */
+/** Milliseconds of the shared clock, suspensions included. */
 export const elapsedMs = elapsedClock.now;
--- a/packages/entry/src/server/entry-settings.ts
+++ b/packages/entry/src/server/entry-settings.ts
@@ -1,50 +1,52 @@
-/** Settings of an entry host: an INI text, checked whole; all findings are reported together. */
+/** Settings of an entry host, read from an INI text. All problems in the text are reported together. */
 import { parse } from 'ini';
 
-/** An address to listen at or to call. */
+/** An IP address and port to listen at or connect to. */
 export type SocketAddress = { readonly ip: string; readonly port: number };
 
-/** Bounds that the system keeps, in milliseconds where not said otherwise. */
+/** Bounds that the system keeps. Fields whose names end in `Ms` are in milliseconds. */
 export type EntryBounds = {
-  /** A key that was taken away is not honoured later than this. */
+  /** Longest time for which a revoked key is still honoured. */
   readonly keyRevocationMs: number;
-  /** Requests with keys are refused while the configuration is not confirmed. */
+  /** Whether requests with keys are refused while the configuration is not confirmed. */
   readonly keysFailClosed: boolean;
-  /** Time in which a planned stop ends. */
+  /** Longest duration of a planned stop. */
   readonly graceMs: number;
-  /** Time after which a group with a lost member is broken. */
+  /** Time after which a replica group with a lost member is considered broken. */
   readonly stallMs: number;
-  /** Period in which hosts renew their entries. */
+  /** Period at which hosts renew their entries in the store. */
   readonly heartbeatMs: number;
-  /** Repeats per request, over all entry hosts. */
+  /** Most retries per request, over all entry hosts. */
   readonly retryRatio: number;
+  /** Window in which retries and requests are counted. */
   readonly retryWindowMs: number;
+  /** Retries in such a window that are allowed in addition. */
   readonly retrySlack: number;
   /** Window in which loads from the weight store are counted. */
   readonly loadWindowMs: number;
   /**
-   * Time after which nothing new may reach an evacuated failure domain, in milliseconds; undefined:
-   * evacuations are not followed. Only whether it is defined matters here: the limits in the code keep it.
+   * Time after which nothing new may reach an evacuated failure domain, in milliseconds; undefined if evacuations are
+   * not followed. The code only checks whether it is defined: the fixed limits in the code keep the bound.
    */
   readonly evacuationMs: number | undefined;
-  /** Arrivals in a second that are allowed at a cold host, as a multiple of its rate. */
+  /** Arrivals per second that are allowed at a cold host, as a multiple of its rate. */
   readonly coldOvershoot: number;
-  /** Arrivals in a second at a cold host that are allowed in addition. */
+  /** Arrivals per second at a cold host that are allowed in addition. */
   readonly coldSlack: number;
-  /** Window in which arrivals at a host that has named a limit of requests a second are counted. */
+  /** Window for counting arrivals at a host that has reported a rate limit in requests per second. */
   readonly limitWindowMs: number;
-  /** Arrivals in such a window that are allowed, as a multiple of what the limit gives. */
+  /** Arrivals in such a window that are allowed, as a multiple of the rate limit's allowance. */
   readonly limitOvershoot: number;
   /** Arrivals in such a window that are allowed in addition. */
   readonly limitSlack: number;
 };
 
-/** How entry hosts reach each other. */
+/** How this entry host and its peers reach each other. */
 export type PeerSettings = {
   readonly listen: SocketAddress;
-  /** Addresses (`ip:port`) of some peers; they may be gone. */
+  /** Addresses (`ip:port`) of some peers, which may no longer exist. */
   readonly seeds: readonly string[];
-  /** Shared by all entry hosts; empty where the network is trusted. */
+  /** Secret key that all entry hosts share; empty if the network is trusted. */
   readonly key: string;
   /** Processor power of this host, in cores; stronger hosts follow the store for others. */
   readonly power: number;
@@ -57,13 +59,13 @@
 export type EntrySettings = {
   readonly name: string;
   readonly failureDomain: string;
-  /** Regions of failure domains, as far as they are declared. */
+  /** Declared regions of failure domains; a failure domain may have none. */
   readonly regions: readonly DomainRegion[];
   readonly callers: SocketAddress;
   readonly readiness: SocketAddress;
   readonly metrics: SocketAddress | undefined;
   readonly store: SocketAddress;
-  /** Undefined: this host follows the store alone. */
+  /** Undefined if this host has no peers and follows only the store. */
   readonly peers: PeerSettings | undefined;
   readonly bounds: EntryBounds;
 };
@@ -75,7 +77,7 @@
   readonly message: string;
 };
 
-/** Settings that can not be used, with all findings. */
+/** Thrown for invalid settings; holds all findings. */
 export class SettingsError extends Error {
   readonly reason = 'invalid-settings';
   readonly findings: readonly SettingFinding[];
@@ -84,7 +86,7 @@
     const lines = findings.map(
       finding => `[${finding.section}] ${finding.key}: ${finding.message}`,
     );
-    super(`settings can not be used:\n${lines.join('\n')}`);
+    super(`settings cannot be used:\n${lines.join('\n')}`);
     this.name = 'SettingsError';
     this.findings = findings;
   }
@@ -92,7 +94,7 @@
 
 const MS_PER_S = 1_000;
 
-/** Reads settings; throws {@link SettingsError}. Unknown keys are passed over. */
+/** Reads settings; throws {@link SettingsError} if any are invalid. Unknown keys are ignored. */
 export function readEntrySettings(text: string): EntrySettings {
   const reader = new SettingsReader(parse(text));
   const settings: EntrySettings = {
@@ -130,8 +132,8 @@
   return settings;
 }
 
-// Checked strictly: a host without a region takes no requests with home regions, so a typing error here
-// would have requests refused.
+// Region names are checked strictly: a host without a region receives no requests that have home regions, so a
+// typing error here would cause requests to be refused.
 function readRegions(reader: SettingsReader): readonly DomainRegion[] {
   return reader
     .keysOf('regions')
@@ -147,7 +149,7 @@
   };
 }
 
-/** Reads values and collects what is wrong with them. */
+/** Reads single values and collects findings for missing or invalid ones. */
 class SettingsReader {
   readonly findings: SettingFinding[] = [];
   readonly #sections: Readonly<Record<string, unknown>>;
@@ -163,47 +165,47 @@
   text(section: string, key: string): string {
     const value = this.#value(section, key);
     if (value === undefined) {
-      this.#find(section, key, 'is missing');
+      this.#addFinding(section, key, 'is missing');
     }
     return value ?? '';
   }
 
-  /** A text that is one name: a key without a value reads as `true`, a repeated one as several. */
+  /** Reads a single name. A key without a value is parsed as `true`, a repeated key as several values. */
   name(section: string, key: string): string {
     const value = this.text(section, key);
     if (value === 'true' || /[\s,]/.test(value)) {
-      this.#find(section, key, `must be one name, is '${value}'`);
+      this.#addFinding(section, key, `must be one name, is '${value}'`);
     }
     return value;
   }
 
-  number(section: string, key: string, whenAbsent: number): number {
+  number(section: string, key: string, defaultValue: number): number {
     const value = this.#value(section, key);
     if (value === undefined) {
-      return whenAbsent;
+      return defaultValue;
     }
     const parsed = Number(value);
     if (!Number.isFinite(parsed) || parsed < 0) {
-      this.#find(section, key, `must be a number of 0 or more, is '${value}'`);
+      this.#addFinding(section, key, `must be a number of 0 or more, is '${value}'`);
     }
     return parsed;
   }
 
-  positive(section: string, key: string, whenAbsent: number): number {
-    const value = this.number(section, key, whenAbsent);
+  positive(section: string, key: string, defaultValue: number): number {
+    const value = this.number(section, key, defaultValue);
     if (value === 0) {
-      this.#find(section, key, 'must be greater than 0');
+      this.#addFinding(section, key, 'must be greater than 0');
     }
     return value;
   }
 
-  flag(section: string, key: string, whenAbsent: boolean): boolean {
+  flag(section: string, key: string, defaultValue: boolean): boolean {
     const value = this.#value(section, key);
     if (value === undefined) {
-      return whenAbsent;
+      return defaultValue;
     }
     if (value !== 'true' && value !== 'false') {
-      this.#find(section, key, `must be true or false, is '${value}'`);
+      this.#addFinding(section, key, `must be true or false, is '${value}'`);
     }
     return value === 'true';
   }
@@ -216,11 +218,11 @@
       .filter(entry => entry !== '');
   }
 
-  /** The keys that a section has. */
+  /** Returns the keys of a section; none if it is absent. */
   keysOf(section: string): readonly string[] {
     const values = this.#sections[section] ?? {};
     if (typeof values !== 'object') {
-      this.#find(section, '*', `must be a section, is '${String(values as string)}'`);
+      this.#addFinding(section, '*', `must be a section, is '${String(values as string)}'`);
       return [];
     }
     return Object.keys(values);
@@ -231,7 +233,7 @@
     const colon = value.lastIndexOf(':');
     const port = Number(value.slice(colon + 1));
     if (value !== '' && (colon <= 0 || !Number.isInteger(port) || port < 0 || port > 65_535)) {
-      this.#find(section, key, `must be IP:PORT, is '${value}'`);
+      this.#addFinding(section, key, `must be IP:PORT, is '${value}'`);
     }
     return { ip: value.slice(0, colon), port };
   }
@@ -242,7 +244,7 @@
     return value === undefined || value === '' ? undefined : String(value as string | boolean);
   }
 
-  #find(section: string, key: string, message: string): void {
+  #addFinding(section: string, key: string, message: string): void {
     this.findings.push({ section, key, message });
   }
 }
--- a/packages/entry/src/server/failure-series.test.ts
+++ b/packages/entry/src/server/failure-series.test.ts
@@ -4,7 +4,7 @@
 import type { LogFields } from './log.js';
 
 describe('failure series', () => {
-  it('writes its first failure with the cause, and its end with how many there were', () => {
+  it('logs the first failure with its cause, and the end of the series with the number of failures', () => {
     const lines: { message: string; fields: LogFields | undefined }[] = [];
     const write = (message: string, fields?: LogFields): void => {
       lines.push({ message, fields });
--- a/packages/entry/src/server/failure-series.ts
+++ b/packages/entry/src/server/failure-series.ts
@@ -1,19 +1,19 @@
-/** Logs the first failure of a series and its end, so that an outage makes two lines, not hundreds. */
+/** Logs the first failure of a series and its end, so that an outage produces two log lines instead of hundreds. */
 import type { Log } from './log.js';
 
-/** Failures of one recurring action. */
+/** Tracks consecutive failures of one recurring action. */
 export class FailureSeries {
   readonly #log: Log;
   readonly #action: string;
   #failures = 0;
 
-  /** `action` names what fails, for the log. */
+  /** `action` is the name of the action in log lines. */
   constructor(log: Log, action: string) {
     this.#log = log;
     this.#action = action;
   }
 
-  /** The action has failed; `error` is what it threw. */
+  /** Records a failure of the action; `error` is the value that it threw. */
   failed(error: unknown): void {
     this.#failures += 1;
     if (this.#failures === 1) {
@@ -21,7 +21,7 @@
     }
   }
 
-  /** The action has succeeded. */
+  /** Records a success of the action, which ends the series. */
   succeeded(): void {
     if (this.#failures > 0) {
       this.#log.info('action succeeds again', { action: this.#action, failures: this.#failures });
--- a/packages/entry/src/server/log.test.ts
+++ b/packages/entry/src/server/log.test.ts
@@ -4,14 +4,14 @@
 
 type Line = { readonly message: string; readonly level: string; readonly [field: string]: unknown };
 
-function sinkOf(writableLength: () => number): {
+function createSink(writableLength: () => number): {
   lines: () => Line[];
   sink: { write: (text: string) => boolean; readonly writableLength: number };
 } {
   let text = '';
   const sink = {
-    write: (more: string): boolean => {
-      text += more;
+    write: (chunk: string): boolean => {
+      text += chunk;
       return true;
     },
     get writableLength() {
@@ -29,15 +29,15 @@
 const BOUNDS = { infoPerSecond: 5, warnPerSecond: 10, maxPendingBytes: 1_000 };
 
 describe('log', () => {
-  it('writes one JSON line with its fields', () => {
-    const { lines, sink } = sinkOf(() => 0);
+  it('writes one JSON line that contains the fields', () => {
+    const { lines, sink } = createSink(() => 0);
     createLog('entry-1', BOUNDS, sink).info('host departed', { host: 'x1' });
     expect(lines()).to.have.length(1);
     expect(lines()[0]).to.include({ message: 'host departed', host: 'x1', process: 'entry-1' });
   });
 
-  it('is bounded by count, keeps warnings apart, and tells what was left out', async () => {
-    const { lines, sink } = sinkOf(() => 0);
+  it('limits lines per second, limits warnings separately, and logs the counts of omitted lines', async () => {
+    const { lines, sink } = createSink(() => 0);
     const log = createLog('entry-1', BOUNDS, sink);
     for (let line = 0; line < 50; line++) {
       log.info('many');
@@ -55,8 +55,8 @@
     expect(omitted).to.include({ many: 47, others: 48 });
   });
 
-  it('writes every line that the bounds admit, however alike and close together', () => {
-    const { lines, sink } = sinkOf(() => 0);
+  it('writes every line within the bounds, even if lines are alike and in quick succession', () => {
+    const { lines, sink } = createSink(() => 0);
     const bounds = { ...BOUNDS, infoPerSecond: 100, warnPerSecond: 100 };
     const log = createLog('entry-1', bounds, sink);
     for (let line = 0; line < 40; line++) {
@@ -66,8 +66,8 @@
     expect(lines()).to.have.length(40);
   });
 
-  it('leaves room for other lines when one message comes by the hundred', () => {
-    const { lines, sink } = sinkOf(() => 0);
+  it('reserves lines for other messages when one message is logged hundreds of times', () => {
+    const { lines, sink } = createSink(() => 0);
     const log = createLog('entry-1', BOUNDS, sink);
     for (let line = 0; line < 200; line++) {
       log.warn('attempt failed', { request: `r${line}` });
@@ -77,8 +77,8 @@
     expect(lines().map(({ message }) => message)).to.include('request quarantined');
   });
 
-  it('drops lines instead of waiting for a reader that does not read', () => {
-    const { lines, sink } = sinkOf(() => 2_000);
+  it('drops lines instead of waiting when standard output is not read', () => {
+    const { lines, sink } = createSink(() => 2_000);
     const log = createLog('entry-1', BOUNDS, sink);
     for (let line = 0; line < 1_000; line++) {
       log.warn('request refused');
--- a/packages/entry/src/server/log.ts
+++ b/packages/entry/src/server/log.ts
@@ -1,63 +1,64 @@
 /**
- * Structured logs on standard output: one JSON line for each decision or change of belief.
+ * Structured logs on standard output: one JSON line for each decision or change of the known state.
  *
- * Lines are bounded by count per second and by bytes that standard output has not yet taken;
- * what is left out is counted by message and told in one line of its own.
+ * The number of lines per second is limited, and so are the bytes that standard output has not written yet.
+ * Omitted lines are counted by message, and the counts are logged in one line.
  */
-// Without the library's own reporters, which are half of its size and are not used.
+// The core module omits the library's own reporters, which are half of its size and are not used.
 import { createConsola, LogLevels } from 'consola/core';
 
 import { monotonicMs } from './time.js';
 
-/** Fields of a line. */
+/** Fields of a log line. */
 export type LogFields = Readonly<Record<string, string | number | boolean | undefined>>;
 
-/** Writes lines; `warn` and `error` have places of their own when lines are many. */
+/** Writes log lines; `warn` and `error` share a rate limit separate from that of `info`. */
 export type Log = {
   readonly info: (message: string, fields?: LogFields) => void;
   readonly warn: (message: string, fields?: LogFields) => void;
   readonly error: (message: string, fields?: LogFields) => void;
 };
 
-/** Bounds of a log. */
+/** Rate and memory limits of a log. */
 export type LogBounds = {
-  /** Lines of level `info` a second. */
+  /** Most lines of level `info` per second. */
   readonly infoPerSecond: number;
-  /** Lines of level `warn` and `error` a second. */
+  /** Most lines of levels `warn` and `error` together per second. */
   readonly warnPerSecond: number;
-  /** Bytes that may wait for standard output. */
+  /** Lines are omitted while more bytes than this wait for standard output. */
   readonly maxPendingBytes: number;
 };
 
-/** Where lines go; the subset of a stream that is used. */
+/** Destination of log lines: the members of a writable stream that the log uses. */
 export type LogSink = {
   readonly write: (text: string) => boolean;
   readonly writableLength: number;
 };
 
-/** Bounds that fit a small host. */
+/** Bounds for a small host. */
 export const DEFAULT_LOG_BOUNDS: LogBounds = {
   infoPerSecond: 40,
   warnPerSecond: 60,
   maxPendingBytes: 256 * 1024,
 };
 
+/** Window in which lines are counted, in milliseconds. */
 const WINDOW_MS = 1_000;
 /**
- * Greatest part of the lines of a level that one message may take, 0 to 1. When requests fail by the hundred, a
- * line for each would else leave out the few lines that tell why: a host that ended, a request in quarantine.
+ * Largest share of a level's lines that one message may use, 0 to 1. When hundreds of requests fail, one line for each
+ * would otherwise displace the few lines that explain why, such as an ended host or a request in quarantine.
  */
-const MOST_OF_ONE_MESSAGE = 0.7;
+const MAX_SHARE_PER_MESSAGE = 0.7;
 
-/** Makes the log of a process. */
+/** Creates the log of a process. */
 export function createLog(
   processName: string,
   bounds: LogBounds = DEFAULT_LOG_BOUNDS,
   sink: LogSink = process.stdout,
 ): Log {
-  const gate = new LineGate(bounds, sink);
+  const limiter = new LineLimiter(bounds, sink);
   const consola = createConsola({
-    // Lines carry their meaning in fields that the library's throttle does not compare.
+    // The library's throttle would drop lines that differ only in their fields, which it does not compare.
     throttle: 0,
     level: LogLevels.info,
     reporters: [
@@ -71,11 +72,11 @@
     ],
   });
   const write = (level: 'info' | 'warn' | 'error', message: string, fields?: LogFields): void => {
-    const omitted = gate.takeOmitted();
+    const omitted = limiter.takeOmitted();
     if (omitted !== undefined) {
       consola.warn({ message: 'lines left out', fields: omitted });
     }
-    if (gate.admits(level, message)) {
+    if (limiter.admits(level, message)) {
       consola[level]({ message, fields });
     }
   };
@@ -92,22 +93,22 @@
   };
 }
 
-/** A log that drops everything, for tests. */
+/** Creates a log that discards every line, for tests. */
 export function silentLog(): Log {
-  const drop = (): void => undefined;
-  return { info: drop, warn: drop, error: drop };
+  const discard = (): void => undefined;
+  return { info: discard, warn: discard, error: discard };
 }
 
-/** Decides which lines are written, and counts those that are not. */
-class LineGate {
+/** Applies the bounds to log lines and counts the omitted ones by message. */
+class LineLimiter {
   readonly #bounds: LogBounds;
   readonly #sink: LogSink;
   readonly #omitted = new Map<string, number>();
   #windowStart = monotonicMs();
   #infoLines = 0;
   #warnLines = 0;
-  /** Lines by message in this window. */
-  readonly #lines = new Map<string, number>();
+  /** Lines of each message in the current window. */
+  readonly #linesByMessage = new Map<string, number>();
 
   constructor(bounds: LogBounds, sink: LogSink) {
     this.#bounds = bounds;
@@ -115,20 +116,20 @@
   }
 
   admits(level: 'info' | 'warn' | 'error', message: string): boolean {
-    if (this.#hasRoomOf(level, message) && this.#hasRoom(level)) {
+    if (this.#admitsMessage(level, message) && this.#admitsLevel(level)) {
       return true;
     }
     this.#omitted.set(message, (this.#omitted.get(message) ?? 0) + 1);
     return false;
   }
 
-  /** What was left out in the last window, once a window is over. */
+  /** Returns and resets the counts of omitted lines by message, once per window; undefined if there are none. */
   takeOmitted(): LogFields | undefined {
     if (monotonicMs() - this.#windowStart < WINDOW_MS) {
       return undefined;
     }
     this.#windowStart = monotonicMs();
-    this.#lines.clear();
+    this.#linesByMessage.clear();
     this.#infoLines = 0;
     this.#warnLines = 0;
     if (this.#omitted.size === 0) {
@@ -139,15 +140,15 @@
     return omitted;
   }
 
-  #hasRoomOf(level: 'info' | 'warn' | 'error', message: string): boolean {
+  #admitsMessage(level: 'info' | 'warn' | 'error', message: string): boolean {
     const { infoPerSecond, warnPerSecond } = this.#bounds;
-    const lines = (this.#lines.get(message) ?? 0) + 1;
-    this.#lines.set(message, lines);
+    const lines = (this.#linesByMessage.get(message) ?? 0) + 1;
+    this.#linesByMessage.set(message, lines);
     const bound = level === 'info' ? infoPerSecond : warnPerSecond;
-    return lines <= Math.max(1, bound * MOST_OF_ONE_MESSAGE);
+    return lines <= Math.max(1, bound * MAX_SHARE_PER_MESSAGE);
   }
 
-  #hasRoom(level: 'info' | 'warn' | 'error'): boolean {
+  #admitsLevel(level: 'info' | 'warn' | 'error'): boolean {
     if (this.#sink.writableLength > this.#bounds.maxPendingBytes) {
       return false;
     }
--- a/packages/entry/src/server/metrics.ts
+++ b/packages/entry/src/server/metrics.ts
@@ -4,22 +4,22 @@
 /** Labels of a counter. */
 export type Labels = Readonly<Record<string, string>>;
 
-/** Counts events by name and labels; cheap, since it only adds to a number. */
+/** Counts events by name and labels. Counting is cheap: it only adds to a number. */
 export class Counters {
   readonly #values = new Map<string, number>();
 
-  /** Adds to a counter; `hingescale_` is put before the name when it is served. */
+  /** Adds to a counter; the prefix `hingescale_` is added to the name when it is served. */
   count(name: string, labels: Labels = {}, by = 1): void {
     const key = name + formatLabels(labels);
     this.#values.set(key, (this.#values.get(key) ?? 0) + by);
   }
 
-  /** Value of a counter. */
+  /** Returns the value of a counter, 0 if it was never counted. */
   value(name: string, labels: Labels = {}): number {
     return this.#values.get(name + formatLabels(labels)) ?? 0;
   }
 
-  /** All counters as text. */
+  /** Formats all counters. */
   text(): string {
     return [...this.#values].map(([key, value]) => `hingescale_${key} ${value}\n`).join('');
   }
@@ -28,16 +28,16 @@
 /** Value of a gauge for one set of labels. */
 export type GaugeReading = { readonly labels: Labels; readonly value: number };
 
-/** Metrics whose values are read when they are served. */
+/** Gauges, whose values are read each time the metrics are served. */
 export class Gauges {
   readonly #readers = new Map<string, () => readonly GaugeReading[]>();
 
-  /** Serves what `read` gives under a name, to which the prefix `hingescale_` is added. */
+  /** Registers a gauge that serves the result of `read`; the prefix `hingescale_` is added to the name. */
   follow(name: string, read: () => readonly GaugeReading[]): void {
     this.#readers.set(name, read);
   }
 
-  /** All gauges as text. */
+  /** Formats all gauges. */
   text(): string {
     return [...this.#readers]
       .flatMap(([name, read]) => read().map(reading => formatGauge(name, reading)))
@@ -52,21 +52,23 @@
   readonly latencies: Latencies;
 };
 
-/** Metrics of a host that has just started. */
+/** Creates empty metrics. */
 export function newMetrics(): Metrics {
   return { counters: new Counters(), gauges: new Gauges(), latencies: new Latencies() };
 }
 
-/** All metrics as text. */
+/** Formats all metrics. */
 export async function metricsText({ counters, gauges, latencies }: Metrics): Promise<string> {
   return counters.text() + gauges.text() + (await latencies.text());
 }
 
-const SCALE = 1_000;
-const HIGHEST_MS = 600_000;
+/** Units of a histogram per millisecond. */
+const UNITS_PER_MS = 1_000;
+/** Longer durations are recorded as this, in milliseconds. */
+const MAX_RECORDED_MS = 600_000;
 const QUANTILES = [0.5, 0.95, 0.99];
 
-/** Durations by name and labels. Values are kept as numbers until somebody asks for them. */
+/** Histograms of durations by name and labels. Values are kept in lists until the metrics are served. */
 export class Latencies {
   readonly #histograms = new Map<string, Histogram>();
   readonly #pending = new Map<string, number[]>();
@@ -81,17 +83,22 @@
     this.#pending.set(key, pending);
   }
 
-  /** All histograms as text. The library is loaded on the first question, not at start. */
+  /** Formats all histograms. The histogram library is loaded at the first call, not at process start. */
   async text(): Promise<string> {
     const { build } = await import('hdr-histogram-js');
     for (const [key, values] of this.#pending) {
       let histogram = this.#histograms.get(key);
       if (histogram === undefined) {
-        histogram = build({ highestTrackableValue: HIGHEST_MS * SCALE, bitBucketSize: 32 });
+        histogram = build({
+          highestTrackableValue: MAX_RECORDED_MS * UNITS_PER_MS,
+          bitBucketSize: 32,
+        });
         this.#histograms.set(key, histogram);
       }
       for (const ms of values) {
-        histogram.recordValue(Math.round(Math.min(Math.max(ms, 0), HIGHEST_MS) * SCALE));
+        histogram.recordValue(
+          Math.round(Math.min(Math.max(ms, 0), MAX_RECORDED_MS) * UNITS_PER_MS),
+        );
       }
     }
     this.#pending.clear();
@@ -101,7 +108,7 @@
   }
 }
 
-/** Values that are kept between two questions; more are dropped. */
+/** Most values kept per histogram between two calls of {@link Latencies.text}; further values are dropped. */
 const MAX_PENDING = 20_000;
 
 function formatGauge(name: string, { labels, value }: GaugeReading): string {
@@ -118,9 +125,9 @@
   const name = brace < 0 ? key : key.slice(0, brace);
   const labels = brace < 0 ? '' : key.slice(brace + 1, -1) + ',';
   const metric = `hingescale_${name}_milliseconds`;
-  const lines = QUANTILES.map(share => {
-    const value = histogram.getValueAtPercentile(share * 100) / SCALE;
-    return `${metric}{${labels}quantile="${share}"} ${value}`;
+  const lines = QUANTILES.map(quantile => {
+    const value = histogram.getValueAtPercentile(quantile * 100) / UNITS_PER_MS;
+    return `${metric}{${labels}quantile="${quantile}"} ${value}`;
   });
   return [
     ...lines,
--- a/packages/entry/src/server/planned-stop.ts
+++ b/packages/entry/src/server/planned-stop.ts
@@ -1,41 +1,42 @@
-/** The end of a planned stop: callers go elsewhere, and requests in progress finish. */
+/** Planned stop: load balancers send callers to other hosts while requests in progress finish. */
 import type { CallerServer } from './caller-server.js';
 import { elapsedMs } from './elapsed-time.js';
 import { sleep } from './time.js';
 
-/** Time that callers' balancers need to notice that this host is leaving, in milliseconds. */
-const NOTICE_MS = 2_600;
-/** Part of the grace time that is left for the process to end, in milliseconds. */
+/** Time until callers' load balancers have noticed that this host is not ready, in milliseconds. */
+const BALANCER_NOTICE_MS = 2_600;
+/** Part of the grace time that is reserved for the exit of the process, in milliseconds. */
 const GRACE_MARGIN_MS = 700;
-/** Period in which idle connections and the time left are looked at, in milliseconds. */
-const STEP_MS = 50;
+/** Period between checks of idle connections and the remaining time, in milliseconds. */
+const POLL_PERIOD_MS = 50;
 
-/** A planned stop that has begun. */
+/** Parameters of a planned stop that is under way. */
 export type PlannedStop = {
   readonly callers: Pick<CallerServer, 'close' | 'closeIdle'>;
   /** Requests in progress. */
   readonly requests: { readonly open: number };
-  /** Time from the signal until the platform kills the process, in milliseconds. */
+  /** Time between the stop signal and the kill by the platform, in milliseconds. */
   readonly graceMs: number;
-  /** Clock in milliseconds that also counts while the process is suspended, as the platform's does. */
+  /** Clock in milliseconds that includes suspensions of the process, as the platform's clock does. */
   readonly now?: () => number;
 };
 
 /**
- * Waits until no request is in progress, but not longer than the grace time allows. Called at the
- * signal: whatever may wait for others, such as giving a lease back to a silent store, goes on beside it.
+ * Waits until no request is in progress, at most as long as the grace time allows. It is called when the stop signal
+ * arrives. Steps that may wait for other processes, such as releasing the lease at a store that does not answer, run
+ * concurrently.
  */
 export async function finishRequests(stop: PlannedStop): Promise<void> {
   const { callers, requests, graceMs, now = elapsedMs } = stop;
   const startedAt = now();
   const limitMs = graceMs - GRACE_MARGIN_MS;
-  while (now() - startedAt < Math.min(NOTICE_MS, limitMs)) {
-    await sleep(STEP_MS);
+  while (now() - startedAt < Math.min(BALANCER_NOTICE_MS, limitMs)) {
+    await sleep(POLL_PERIOD_MS);
   }
-  // Whoever still holds an idle connection would send into a host that is about to end.
+  // A caller that keeps an idle connection could send a request to a host that is about to exit.
   callers.close();
   while (requests.open > 0 && now() - startedAt < limitMs) {
-    await sleep(STEP_MS);
+    await sleep(POLL_PERIOD_MS);
     callers.closeIdle();
   }
 }
--- a/packages/entry/src/server/settings-change.test.ts
+++ b/packages/entry/src/server/settings-change.test.ts
@@ -15,7 +15,7 @@
 }
 
 describe('changed settings', () => {
-  it('are told apart by when they hold', () => {
+  it('are listed by when they take effect', () => {
     const before = settingsWith(1, 'retry-slack = 10\nretry-window-s = 10');
     const after = settingsWith(9, 'retry-slack = 20\nretry-window-s = 5');
     expect(changedSettings(before, after)).to.deep.equal({
@@ -24,7 +24,7 @@
     });
   });
 
-  it('are none where the text says the same', () => {
+  it('are empty if both texts contain the same settings', () => {
     const text = 'grace-s = 8';
     const change = changedSettings(settingsWith(1, text), settingsWith(1, text));
     expect(change).to.deep.equal({ changed: [], afterRestart: [] });
--- a/packages/entry/src/server/settings-change.ts
+++ b/packages/entry/src/server/settings-change.ts
@@ -1,15 +1,15 @@
-/** What reloaded settings change, and what of it waits for the next start. Pure. */
+/** Compares reloaded settings with those in force. Pure functions. */
 import type { EntryBounds, EntrySettings } from './entry-settings.js';
 
-/** Names of changed settings, as `section.field`. */
+/** Names of changed settings: `bounds.FIELD` for bounds, the bare field name for all others. */
 export type SettingsChange = {
-  /** In force from now on. */
+  /** Settings that take effect immediately. */
   readonly changed: readonly string[];
-  /** In force from the next start of the process. */
+  /** Settings that take effect when the process is restarted. */
   readonly afterRestart: readonly string[];
 };
 
-/** Bounds that are read at each use; others are kept in windows and tasks that run. */
+/** Bounds that are read at each use; running windows and tasks keep copies of the others. */
 const LIVE_BOUNDS: ReadonlySet<string> = new Set<keyof EntryBounds>([
   'keyRevocationMs',
   'keysFailClosed',
@@ -23,25 +23,25 @@
   'limitSlack',
 ]);
 
-/** Compares the settings in force with new ones. */
+/** Finds which settings differ, and when each change takes effect. */
 export function changedSettings(before: EntrySettings, after: EntrySettings): SettingsChange {
   const { bounds: boundsBefore, ...restBefore } = before;
   const { bounds: boundsAfter, ...restAfter } = after;
   const bounds = changedFields(boundsBefore, boundsAfter);
   const rest = changedFields(restBefore, restAfter);
   return {
-    changed: bounds.filter(name => LIVE_BOUNDS.has(name)).map(inBounds),
-    afterRestart: [...rest, ...bounds.filter(name => !LIVE_BOUNDS.has(name)).map(inBounds)],
+    changed: bounds.filter(name => LIVE_BOUNDS.has(name)).map(boundsFieldName),
+    afterRestart: [...rest, ...bounds.filter(name => !LIVE_BOUNDS.has(name)).map(boundsFieldName)],
   };
 }
 
-function inBounds(name: string): string {
+function boundsFieldName(name: string): string {
   return `bounds.${name}`;
 }
 
 function changedFields(before: object, after: object): readonly string[] {
-  const old = new Map(Object.entries(before));
+  const oldValues = new Map(Object.entries(before));
   return Object.entries(after)
-    .filter(([name, value]) => JSON.stringify(old.get(name)) !== JSON.stringify(value))
+    .filter(([name, value]) => JSON.stringify(oldValues.get(name)) !== JSON.stringify(value))
     .map(([name]) => name);
 }
--- a/packages/entry/src/server/side-servers.ts
+++ b/packages/entry/src/server/side-servers.ts
@@ -1,4 +1,4 @@
-/** Small HTTP servers beside the callers' one: readiness and metrics. */
+/** HTTP servers for readiness and metrics, separate from the server for callers. */
 import type { Server } from 'node:http';
 import { createServer } from 'node:http';
 
@@ -7,30 +7,33 @@
 import type { Metrics } from './metrics.js';
 import { metricsText } from './metrics.js';
 
-/** What the side servers tell. */
+/** Sources of the data that the side servers return. */
 export type SideOffer = {
   readonly isReady: () => boolean;
   readonly metrics: Metrics;
   readonly lists: SideLists;
 };
 
-/** Starts the server of readiness and, where the settings name an address for it, that of the metrics. */
+/** Starts the readiness server and, if the settings contain an address for it, the metrics server. */
 export async function startSideServers(
   { readiness, metrics }: Pick<EntrySettings, 'readiness' | 'metrics'>,
   offer: SideOffer,
 ): Promise<readonly Server[]> {
-  const first = await serveReadiness(readiness.ip, readiness.port, offer.isReady);
+  const readinessServer = await serveReadiness(readiness.ip, readiness.port, offer.isReady);
   if (metrics === undefined) {
-    return [first];
+    return [readinessServer];
   }
-  return [first, await serveMetrics(metrics.ip, metrics.port, offer.metrics, offer.lists)];
+  return [
+    readinessServer,
+    await serveMetrics(metrics.ip, metrics.port, offer.metrics, offer.lists),
+  ];
 }
 
-/** Answers 200 to any question while `ready` holds, else 503. */
-async function serveReadiness(ip: string, port: number, ready: () => boolean): Promise<Server> {
+/** Answers every request with 200 while `isReady` returns true, otherwise with 503. */
+async function serveReadiness(ip: string, port: number, isReady: () => boolean): Promise<Server> {
   const server = createServer((request, response) => {
     request.resume();
-    response.statusCode = ready() ? 200 : 503;
+    response.statusCode = isReady() ? 200 : 503;
     response.setHeader('content-length', 0);
     response.end();
   });
@@ -38,10 +41,10 @@
   return server;
 }
 
-/** What is served beside the metrics, as JSON, by its path. */
+/** Functions that return the lists served as JSON beside the metrics, by URL path. */
 export type SideLists = Readonly<Record<string, () => unknown>>;
 
-/** Serves all metrics as text, and lists for operators. */
+/** Serves all metrics in the Prometheus text format, and the lists for operators as JSON. */
 async function serveMetrics(
   ip: string,
   port: number,
--- a/packages/entry/src/server/time.ts
+++ b/packages/entry/src/server/time.ts
@@ -1,27 +1,27 @@
-/** Monotonic time and waiting. The time of day jumps on some hosts, so nothing here uses it. */
+/** Monotonic time and timers. The time of day jumps on some hosts, so nothing here uses it. */
 import { performance } from 'node:perf_hooks';
 
 export type { TimeLimit } from '@hingescale/runtime/clock';
 export { afterTurn } from '@hingescale/runtime/clock';
 
-/** Milliseconds of the steady clock; only differences within one process mean anything. */
+/** Milliseconds of the monotonic clock; only differences within one process are meaningful. */
 export function monotonicMs(): number {
   return performance.now();
 }
 
-/** Waits; ends early without an error when the signal is raised. */
+/** Waits for a time in milliseconds; resolves early, without an error, when the signal is aborted. */
 export function sleep(ms: number, signal?: AbortSignal): Promise<void> {
   return new Promise(resolve => {
     if (signal?.aborted) {
       resolve();
       return;
     }
-    const done = (): void => {
+    const finish = (): void => {
       clearTimeout(timer);
-      signal?.removeEventListener('abort', done);
+      signal?.removeEventListener('abort', finish);
       resolve();
     };
-    const timer = setTimeout(done, ms);
-    signal?.addEventListener('abort', done);
+    const timer = setTimeout(finish, ms);
+    signal?.addEventListener('abort', finish);
   });
 }
--- a/packages/entry/src/testing/cold-days.ts
+++ b/packages/entry/src/testing/cold-days.ts
@@ -1,7 +1,7 @@
 /**
- * Simulates, without I/O, one minute of many entry hosts that send to cold hosts: views of the members that
- * lag, restarts, entry hosts that are cut off. Ways to divide a cold host's rate are compared on the same
- * simulated minutes ("days").
+ * Simulates, without I/O, one minute in which many entry hosts send requests to cold hosts, with delayed membership
+ * views, restarts and entry hosts that are cut off. Ways to divide a cold host's rate among entry hosts are compared
+ * in the same scenarios.
  */
 import type { SlowStart } from '../configuration/serving-configuration.js';
 import type { HostEntry } from '../hosts/host-entry.js';
@@ -11,41 +11,43 @@
 import { Counters } from '../server/metrics.js';
 import { ColdSends } from '../slow-start/cold-sends.js';
 
-/** When requests for cold hosts come to the entry hosts. */
+/** When requests for cold hosts arrive at the entry hosts. */
 export type Demand =
-  /** At every moment more than may be sent. */
+  /** More requests at all times than may be sent. */
   | 'pressing'
-  /** Nothing for a while, then at all entry hosts at the same moment. */
+  /** Pauses, each followed by requests at all entry hosts at the same time. */
   | 'bursts';
 
-/** A process that ends and starts again at once. */
+/** Processes of entry hosts that end and start again at once. */
 export type Restart = {
+  /** Time of the restart, in milliseconds. */
   readonly atMs: number;
-  /** Part of the entry hosts that restart, the first ones, 0 to 1. */
+  /** Fraction of the entry hosts that restart, 0 to 1; the first ones in the list. */
   readonly part: number;
 };
 
-/** What happens within the minute. */
+/** The scenario of one simulated minute. */
 export type ColdDay = {
+  /** Entry hosts at the start. */
   readonly members: number;
   readonly coldHosts: number;
-  /** Times at which one more entry host registers, in milliseconds. */
+  /** Times at which another entry host registers, in milliseconds. */
   readonly joins: readonly number[];
-  /** Longest time until the others know of a join, in milliseconds. */
+  /** Longest time until the other entry hosts learn of a join, in milliseconds. */
   readonly lagMs: number;
-  /** Part of the entry hosts that learn of no joins, 0 to 1. */
+  /** Fraction of the entry hosts that learn of no joins, 0 to 1. */
   readonly cutOff: number;
   readonly restarts: readonly Restart[];
   readonly demand: Demand;
 };
 
-/** What one process of an entry host may send, by one way to divide the rate. */
+/** Decides when one entry-host process may send to cold hosts, by one way to divide the rate. */
 export type ColdSender = {
   readonly take: (host: HostEntry, now: number) => boolean;
   readonly nextRoomInMs: (host: HostEntry, now: number) => number;
 };
 
-/** Makes the sender of a process that starts; `view` tells the members that it knows at the moment. */
+/** Creates the sender of a process that starts; `view` returns the members that the process knows at the time. */
 export type ColdWay = (
   self: string,
   limit: RateLimit,
@@ -53,18 +55,22 @@
   startedAt: number,
 ) => ColdSender;
 
-/** What cold hosts got. */
+/** Rates at which cold hosts received requests. */
 export type ColdDayResult = {
-  /** Most requests that one cold host got in any one second. */
+  /** Most requests that one cold host received within any one second. */
   readonly mostInSecond: number;
-  /** Fewest requests a second that one cold host got over the minute. */
+  /** Lowest average rate at which one cold host received requests over the minute, per second. */
   readonly leastRate: number;
 };
 
-/** Length of a simulated day. */
+/** Length of a scenario, in milliseconds. */
 export const DAY_MS = 60_000;
+/** Time between two steps of the simulation, in milliseconds. */
 const STEP_MS = 10;
+/** Time from the start of one burst to the next, in milliseconds. */
 const BURST_PERIOD_MS = 7_000;
+/** Factor by which a paced sender lengthens the interval between requests that its rate gives. */
+const PACING_FACTOR = 1.05;
 const MS_PER_S = 1_000;
 
 type Process = {
@@ -72,11 +78,11 @@
   readonly isCutOff: boolean;
   view: MemberView;
   sender: ColdSender;
-  /** For each cold host, until when nothing may be sent unless something changes. */
-  waits: number[];
+  /** For each cold host, the time in milliseconds before which no request may be sent unless the view changes. */
+  waitsUntil: number[];
 };
 
-/** The way of the product; `startsFull` leaves out the wait after a start and a change of the members. */
+/** The way that entry hosts use; `startsFull` omits the wait after a start and after a change of the members. */
 export function ownersWay(startsFull = false): ColdWay {
   return (self, limit, view, startedAt) => {
     const slowStart: SlowStart = { requestsPerSecond: limit.perWindow, coldMs: DAY_MS };
@@ -92,11 +98,11 @@
   };
 }
 
-/** Each entry host has the same part of the rate, by the number of members that it knows. */
+/** Gives each entry host an equal share of the rate, by the number of members that it knows. */
 export const EQUAL_PARTS: ColdWay = (_self, limit, view, startedAt) =>
   pacedSender(startedAt, () => limit.perWindow / Math.max(1, view().names.length));
 
-/** A fixed number of owners, each with a fixed share, whatever the bound and the number of members. */
+/** Gives a fixed rate to each of a fixed number of owners, regardless of the bound and the number of members. */
 export function fixedOwners(owners: number, perSecond: number): ColdWay {
   return (self, _limit, view, startedAt) =>
     pacedSender(startedAt, host =>
@@ -104,7 +110,7 @@
     );
 }
 
-/** Simulates the day with one way to divide the rate. */
+/** Simulates a scenario with one way to divide the rate. */
 export function playColdDay(day: ColdDay, limit: RateLimit, way: ColdWay): ColdDayResult {
   const names = Array.from({ length: day.members }, (_, at) => `entry-${at}`);
   const hosts = Array.from(
@@ -114,12 +120,12 @@
   const start = (process: Process, now: number): void => {
     process.view = { names: process.view.names, since: now };
     process.sender = way(process.name, limit, () => process.view, now);
-    process.waits = hosts.map(() => 0);
+    process.waitsUntil = hosts.map(() => 0);
   };
   const processes = names.map((name, at): Process => {
     const isCutOff = at < day.cutOff * names.length;
     const view = { names, since: 0 };
-    const process = { name, isCutOff, view, sender: NEVER, waits: [] };
+    const process = { name, isCutOff, view, sender: SENDS_NOTHING, waitsUntil: [] };
     start(process, 0);
     return process;
   });
@@ -127,7 +133,7 @@
   const sends = hosts.map((): number[] => []);
   for (let now = 0; now <= DAY_MS; now += STEP_MS) {
     for (let next = events[0]; next !== undefined && next.atMs <= now; next = events[0]) {
-      next.happen(now);
+      next.apply(now);
       events.shift();
     }
     if (day.demand === 'bursts' && now % BURST_PERIOD_MS > MS_PER_S / 2) {
@@ -143,20 +149,20 @@
   };
 }
 
-const NEVER: ColdSender = { take: () => false, nextRoomInMs: () => Infinity };
+const SENDS_NOTHING: ColdSender = { take: () => false, nextRoomInMs: () => Infinity };
 
-type DayEvent = { readonly atMs: number; readonly happen: (now: number) => void };
+type ScenarioEvent = { readonly atMs: number; readonly apply: (now: number) => void };
 
 function eventsOf(
   day: ColdDay,
   names: readonly string[],
   processes: Process[],
   start: (process: Process, now: number) => void,
-): DayEvent[] {
+): ScenarioEvent[] {
   const joins = joinEvents(day, names, processes, start);
-  const restarts = day.restarts.map(({ atMs, part }): DayEvent => ({
+  const restarts = day.restarts.map(({ atMs, part }): ScenarioEvent => ({
     atMs,
-    happen: now => {
+    apply: now => {
       processes.slice(0, Math.ceil(part * processes.length)).forEach(process => {
         start(process, now);
       });
@@ -165,14 +171,14 @@
   return [...joins, ...restarts].sort((a, b) => a.atMs - b.atMs);
 }
 
-// Each join, and when each of the others learns of it, spread evenly over the lag.
+// Creates an event for each join, and one for each process that learns of it, spread evenly over the lag.
 function joinEvents(
   day: ColdDay,
   names: readonly string[],
   processes: Process[],
   start: (process: Process, now: number) => void,
-): DayEvent[] {
-  const events: DayEvent[] = [];
+): ScenarioEvent[] {
+  const events: ScenarioEvent[] = [];
   const count = processes.length;
   [...day.joins]
     .sort((a, b) => a - b)
@@ -181,7 +187,7 @@
       const learn = (process: Process, now: number): void => {
         if (known.length > process.view.names.length) {
           process.view = { names: known, since: now };
-          process.waits.fill(0);
+          process.waitsUntil.fill(0);
         }
       };
       const name = `joined-${place}`;
@@ -189,12 +195,12 @@
         name,
         isCutOff: false,
         view: { names: known, since: atMs },
-        sender: NEVER,
-        waits: [],
+        sender: SENDS_NOTHING,
+        waitsUntil: [],
       };
       events.push({
         atMs,
-        happen: now => {
+        apply: now => {
           start(joined, now);
           processes.push(joined);
         },
@@ -203,7 +209,7 @@
         .filter(process => !process.isCutOff)
         .forEach((process, at) => {
           const delay = (day.lagMs * at) / count;
-          events.push({ atMs: atMs + delay, happen: now => learn(process, now) });
+          events.push({ atMs: atMs + delay, apply: now => learn(process, now) });
         });
     });
   return events;
@@ -216,17 +222,17 @@
   now: number,
 ): void {
   hosts.forEach((host, at) => {
-    if ((process.waits[at] ?? 0) > now) {
+    if ((process.waitsUntil[at] ?? 0) > now) {
       return;
     }
     while (process.sender.take(host, now)) {
       sends[at]?.push(now);
     }
-    process.waits[at] = now + process.sender.nextRoomInMs(host, now);
+    process.waitsUntil[at] = now + process.sender.nextRoomInMs(host, now);
   });
 }
 
-// Sends exactly a second apart count as within one second.
+// Requests exactly one second apart count as within one second.
 function mostInSecond(times: readonly number[]): number {
   let most = 0;
   let first = 0;
@@ -239,11 +245,12 @@
   return most;
 }
 
+// A sender that paces requests evenly at a rate per host.
 function pacedSender(startedAt: number, perSecondOf: (host: HostEntry) => number): ColdSender {
   const lastAt = new Map<string, number>();
   const nextRoomInMs = (host: HostEntry, now: number): number => {
     const perSecond = perSecondOf(host);
-    const nextAt = (lastAt.get(host.id) ?? startedAt) + (1.05 * MS_PER_S) / perSecond;
+    const nextAt = (lastAt.get(host.id) ?? startedAt) + (PACING_FACTOR * MS_PER_S) / perSecond;
     return perSecond > 0 ? Math.max(0, nextAt - now) : Infinity;
   };
   const take = (host: HostEntry, now: number): boolean => {
@@ -256,15 +263,15 @@
   return { take, nextRoomInMs };
 }
 
-// The same view object while the members are the same, as `ColdSends` expects, but as if it were old.
+// Returns views that appear to be old. `ColdSends` expects the same view object while the members do not change.
 function withoutAge(view: () => MemberView): () => MemberView {
-  let before = view();
-  let ageless: MemberView = { ...before, since: -Infinity };
+  let lastView = view();
+  let agelessView: MemberView = { ...lastView, since: -Infinity };
   return () => {
-    if (view() !== before) {
-      before = view();
-      ageless = { ...before, since: -Infinity };
+    if (view() !== lastView) {
+      lastView = view();
+      agelessView = { ...lastView, since: -Infinity };
     }
-    return ageless;
+    return agelessView;
   };
 }
--- a/packages/entry/src/testing/day-fleets.ts
+++ b/packages/entry/src/testing/day-fleets.ts
@@ -1,8 +1,8 @@
-/** Deployments for days of the fleet model: a large and a small model. */
+/** Deployments of a large and a small model for simulations with the fleet model. */
 import type { EngineProfile } from '../configuration/serving-configuration.js';
 import { FleetModel } from './fleet-model.js';
 
-/** A large and a small model; the large one has this part of the work, 0 to 1. */
+/** Creates a profile of a large and a small model; `largeShare` is the large model's share of the work, 0 to 1. */
 export function dayProfile(largeSize: number, smallSize: number, largeShare = 0.4): EngineProfile {
   const large = { name: 'large', size: largeSize, pace: 1, workShare: largeShare };
   const small = { name: 'small', size: smallSize, pace: 0.6, workShare: 1 - largeShare };
@@ -18,21 +18,25 @@
   };
 }
 
-/** A fleet of three failure domains with three fabric domains each. */
+/** Sizes of a fleet of three failure domains with three fabric domains each. */
 export type WideFleet = {
+  /** Hosts in each fabric domain. */
   readonly domainSize: number;
+  /** Hosts in a group of the large model. */
   readonly largeSize: number;
+  /** Hosts in a group of the small model. */
   readonly smallSize: number;
+  /** Share of the work that the large model has, 0 to 1. */
   readonly largeShare: number;
 };
 
-const WIDE_DOMAINS = 9;
+const FABRIC_DOMAINS = 9;
 
-/** Such a fleet; its hosts stay cold for 3 s after an evacuation. */
-export function wideFleet(kind: WideFleet): FleetModel {
-  const { domainSize, largeSize, smallSize, largeShare } = kind;
+/** Creates a fleet of these sizes, whose hosts stay cold for 3 s after an evacuation. */
+export function wideFleet(sizes: WideFleet): FleetModel {
+  const { domainSize, largeSize, smallSize, largeShare } = sizes;
   return new FleetModel({
-    domainSizes: Array.from({ length: WIDE_DOMAINS }, () => domainSize),
+    domainSizes: Array.from({ length: FABRIC_DOMAINS }, () => domainSize),
     domainsPerFailureDomain: 3,
     coldMs: 3_000,
     profile: dayProfile(largeSize, smallSize, largeShare),
--- a/packages/entry/src/testing/fleet-model.ts
+++ b/packages/entry/src/testing/fleet-model.ts
@@ -1,7 +1,6 @@
 /**
- * A small model of model hosts for tests of the plans: joins, stagings that share the weight
- * store's bandwidth, losses, arrivals and evacuated failure domains. Time only moves in `run`; orders
- * are taken at once.
+ * Simulates model hosts for tests of the plans: joins of groups, stagings that share the weight store's bandwidth,
+ * lost and added hosts, and evacuated failure domains. Time advances only in `run`; orders take effect at once.
  */
 import type { EngineProfile, GroupModel } from '../configuration/serving-configuration.js';
 import { planIdleFormations, planIdleStagings } from '../groups/evacuated-plan.js';
@@ -15,14 +14,14 @@
 import type { HostEntry } from '../hosts/host-entry.js';
 import { testHost } from './groups.js';
 
-/** What a fleet is made of. */
+/** Composition of a simulated fleet. */
 export type FleetModelOptions = {
   readonly profile: EngineProfile;
-  /** Hosts by fabric domain. */
+  /** Number of hosts in each fabric domain. */
   readonly domainSizes: readonly number[];
-  /** Fabric domains that make up a failure domain. */
+  /** Number of fabric domains in a failure domain. */
   readonly domainsPerFailureDomain: number;
-  /** Model that a host has staged at the start. */
+  /** Returns the model that a host has staged at the start, by the index of the host. */
   readonly stagedAtStart?: (index: number) => string | undefined;
   /** Time for which hosts stay cold after an evacuation, in milliseconds; 0 if not given. */
   readonly coldMs?: number;
@@ -41,45 +40,48 @@
   readonly name: string;
   readonly model: GroupModel;
   readonly members: readonly ModelHost[];
-  /** Time until it serves, in milliseconds; 0 once it does. */
+  /** Time until the group serves, in milliseconds; 0 while it serves. */
   openInMs: number;
 };
 
-/** Time from the last ready member until a group serves, in milliseconds. */
-const OPEN_MS = 300;
+/** Time from when the last member is ready until a group serves, in milliseconds. */
+const OPENING_MS = 300;
+/** Window in which loads from the weight store are counted, in milliseconds. */
 const LOAD_WINDOW_MS = 5_000;
+/** Shortest time between two dissolutions, in milliseconds. */
 const DISSOLUTION_PERIOD_MS = 1_500;
-const FREE_LOAD_PART = 0.1;
+/** Duration of a formation's loads while loads are free, as a fraction of the usual duration. */
+const FREE_LOAD_FACTOR = 0.1;
 
-/** The fleet, with the plans that give it orders. */
+/** A simulated fleet that carries out the plans of the lease holder. */
 export class FleetModel {
   readonly #profile: EngineProfile;
   readonly #budget = new LoadBudget(LOAD_WINDOW_MS);
   readonly #hosts: ModelHost[] = [];
   readonly #perFailureDomain: number;
   readonly #evacuated = new Set<string>();
-  readonly #possible = new Map<string, number>();
+  readonly #possibleByDomainSizes = new Map<string, number>();
   readonly #coldMs: number;
   #groups: ModelGroup[] = [];
   #now = 0;
   #returnedAt = -Infinity;
   #dissolvedAt = -Infinity;
-  #made = 0;
+  #namesUsed = 0;
   /** Time that hosts spent in serving groups, in host milliseconds. */
   servingHostMs = 0;
-  /** Time that hosts could have spent there if loads took no time, in host milliseconds. */
+  /** Time that hosts could have spent in serving groups if loads took no time, in host milliseconds. */
   possibleHostMs = 0;
   /** Time of all hosts in use, in host milliseconds. */
   hostMs = 0;
-  /** Time that hosts in use spent in no group and without a model that their domain serves, in host ms. */
+  /** Time that hosts in use spent in no group and without a model that their domain serves, in host milliseconds. */
   strandedHostMs = 0;
-  /** Loads from the weight store that were begun, without those before the first request. */
+  /** Loads from the weight store that were started, except free ones before the first request. */
   loads = 0;
   /** Orders sent to hosts. */
   orders = 0;
-  /** Names of groups that were dissolved for others. */
+  /** Names of groups that were dissolved to form others. */
   readonly dissolved: string[] = [];
-  /** Time without a serving group by model, in milliseconds. */
+  /** Time without a serving group, in milliseconds, by model. */
   readonly unservedMs = new Map<string, number>();
 
   constructor(options: FleetModelOptions) {
@@ -94,17 +96,17 @@
     });
   }
 
-  /** Hosts that are there. */
+  /** Number of hosts in the fleet. */
   get hostCount(): number {
     return this.#hosts.length;
   }
 
-  /** Serving groups of a model; those of evacuated failure domains get no requests and don't count. */
+  /** Number of serving groups of a model. Groups in evacuated failure domains receive no requests and don't count. */
   serving(model: string): number {
     return this.#serving.filter(group => group.model.name === model).length;
   }
 
-  /** Loses a host of a failure domain for good, and its group with it; hosts in groups first. */
+  /** Permanently removes a host in a group of a failure domain, and dissolves its group. */
   loseIn(failureDomain: string): void {
     const inside = this.#groups.filter(
       ({ members }) => members[0]?.failureDomain === failureDomain,
@@ -112,7 +114,7 @@
     this.#remove(inside[0]?.members[0]);
   }
 
-  /** Names of the groups in a failure domain, serving or not. */
+  /** Names of all groups in a failure domain, including those that don't serve yet. */
   groupsIn(failureDomain: string): readonly string[] {
     const inside = this.#groups.filter(
       ({ members }) => members[0]?.failureDomain === failureDomain,
@@ -128,23 +130,23 @@
     return this.#evacuated.has(members[0]?.failureDomain ?? '');
   }
 
-  /** True when no join and no staging is under way. */
+  /** True while no group is joining and no host is staging. */
   get isQuiet(): boolean {
-    const joining = this.#groups.some(group => group.openInMs > 0);
-    return !joining && this.#hosts.every(host => host.staging === undefined);
+    const isJoining = this.#groups.some(group => group.openInMs > 0);
+    return !isJoining && this.#hosts.every(host => host.staging === undefined);
   }
 
-  /** Most free hosts that any fabric domain has, evacuated or not. */
+  /** Largest number of free hosts in any fabric domain, evacuated domains included. */
   get mostFree(): number {
     const { domains } = wholeFleetOf(this.#view());
     return Math.max(0, ...domains.map(domain => domain.free.length));
   }
 
-  /** A host comes. */
+  /** Adds a host to a fabric domain. */
   arrive(domain: number, staged: readonly string[] = []): void {
-    this.#made += 1;
+    this.#namesUsed += 1;
     this.#hosts.push({
-      id: `h${this.#made}`,
+      id: `h${this.#namesUsed}`,
       fabricDomain: `d${domain}`,
       failureDomain: `z${Math.floor(domain / this.#perFailureDomain)}`,
       loaded: undefined,
@@ -153,11 +155,11 @@
     });
   }
 
-  /** A host is lost for good, and its group with it; `pick` chooses it, hosts in groups first. */
+  /** Permanently removes a host and dissolves its group; `pick` selects among hosts in groups, or all if none is. */
   lose(pick: number): void {
     const grouped = this.#groups.flatMap(group => group.members);
-    const from = grouped.length > 0 ? grouped : this.#hosts;
-    this.#remove(from[pick % from.length]);
+    const candidates = grouped.length > 0 ? grouped : this.#hosts;
+    this.#remove(candidates[pick % candidates.length]);
   }
 
   #remove(lost: ModelHost | undefined): void {
@@ -166,18 +168,18 @@
     this.#hosts.splice(index, 1);
   }
 
-  /** Nothing may be sent to a failure domain from now on. */
+  /** Evacuates a failure domain: nothing may be sent to it until its evacuation ends. */
   evacuate(failureDomain: string): void {
     this.#evacuated.add(failureDomain);
   }
 
-  /** It may be used again. */
+  /** Ends the evacuation of a failure domain. */
   takeBack(failureDomain: string): void {
     this.#evacuated.delete(failureDomain);
     this.#returnedAt = this.#now;
   }
 
-  /** Lets time pass; `loads` tells whether loads are free meanwhile. */
+  /** Advances the time by `ms`; `loads` sets whether loads are free during it. */
   run(ms: number, loads: FormationLoads = NO_LOADS): void {
     const end = this.#now + ms;
     while (this.#now < end) {
@@ -193,11 +195,11 @@
     const formations = [...planFormations(view, loads), ...planIdleFormations(view, loads)];
     for (const { hosts, model, readyMs } of formations) {
       this.orders += hosts.length + 1;
-      const members = hosts.map(host => this.#find(host));
-      const part = loads === FREE_LOADS ? FREE_LOAD_PART : 1;
-      this.#made += 1;
-      const openInMs = readyMs * part + OPEN_MS;
-      this.#groups.push({ name: `g${this.#made}`, model, members, openInMs });
+      const members = hosts.map(host => this.#hostOf(host));
+      const loadFactor = loads === FREE_LOADS ? FREE_LOAD_FACTOR : 1;
+      this.#namesUsed += 1;
+      const openInMs = readyMs * loadFactor + OPENING_MS;
+      this.#groups.push({ name: `g${this.#namesUsed}`, model, members, openInMs });
       members.forEach(member => {
         this.#load(member, model);
       });
@@ -207,12 +209,12 @@
 
   #load(host: ModelHost, model: GroupModel): void {
     if (host.loaded !== model.name && !host.staged.includes(model.name)) {
-      this.#putStaged(host, model);
+      this.#addStaged(host, model);
     }
     host.loaded = model.name;
   }
 
-  #putStaged(host: ModelHost, model: GroupModel): void {
+  #addStaged(host: ModelHost, model: GroupModel): void {
     host.staged = [...host.staged, model.name].slice(-this.#profile.stagedModelsKept);
   }
 
@@ -232,11 +234,11 @@
 
   #stage(view: FleetView, loads: FormationLoads): boolean {
     if (loads === FREE_LOADS) {
-      const prepared = [...planStagings(view, Infinity), ...planIdleStagings(view, Infinity)];
-      for (const { host, model } of prepared) {
-        this.#putStaged(this.#find(host), model);
+      const freeStagings = [...planStagings(view, Infinity), ...planIdleStagings(view, Infinity)];
+      for (const { host, model } of freeStagings) {
+        this.#addStaged(this.#hostOf(host), model);
       }
-      return prepared.length > 0;
+      return freeStagings.length > 0;
     }
     const { loadsPerSecond, loadsAtOnce } = this.#profile;
     const running = this.#hosts.filter(host => host.staging !== undefined).length;
@@ -247,27 +249,27 @@
     this.orders += planned.length;
     this.#budget.note(this.#now, planned.length);
     for (const { host, model } of planned) {
-      this.#find(host).staging = { model, leftMs: model.loadMs };
+      this.#hostOf(host).staging = { model, leftMs: model.loadMs };
     }
     return planned.length > 0;
   }
 
   #nextEventMs(): number {
-    const slowness = this.#slowness();
+    const slowdown = this.#loadSlowdown();
     const stagings = this.#hosts.flatMap(host => host.staging?.leftMs ?? []);
     const openings = this.#groups.map(group => group.openInMs).filter(left => left > 0);
-    return Math.min(DISSOLUTION_PERIOD_MS, ...stagings.map(left => left * slowness), ...openings);
+    return Math.min(DISSOLUTION_PERIOD_MS, ...stagings.map(left => left * slowdown), ...openings);
   }
 
   #advance(ms: number): void {
     this.#measure(ms);
     this.#now += ms;
-    const progress = ms / this.#slowness();
+    const progress = ms / this.#loadSlowdown();
     for (const host of this.#hosts) {
       if (host.staging !== undefined) {
         host.staging.leftMs -= progress;
         if (host.staging.leftMs <= 0) {
-          this.#putStaged(host, host.staging.model);
+          this.#addStaged(host, host.staging.model);
           host.staging = undefined;
         }
       }
@@ -288,19 +290,23 @@
     this.possibleHostMs += ms * this.#possibleHosts(view);
   }
 
-  // Hosts that would be in groups if every host could serve any model; cached by the hosts in use.
+  // Number of hosts that would be in groups if every host could serve any model; cached by the sizes of the domains.
   #possibleHosts(view: FleetView): number {
     const sizes = view.domains.map(({ fabricDomain, free, groups }) => {
       const grouped = groups.reduce((sum, { members }) => sum + members.length, 0);
       return `${fabricDomain}:${free.length + grouped}`;
     });
     const key = sizes.join();
-    let possible = this.#possible.get(key);
+    let possible = this.#possibleByDomainSizes.get(key);
     if (possible === undefined) {
-      const domains = view.domains.map(domain => ({ ...domain, free: allOf(domain), groups: [] }));
+      const domains = view.domains.map(domain => ({
+        ...domain,
+        free: withoutModels(domain),
+        groups: [],
+      }));
       const ideal = planFormations({ ...view, domains }, FREE_LOADS);
       possible = ideal.reduce((sum, { hosts }) => sum + hosts.length, 0);
-      this.#possible.set(key, possible);
+      this.#possibleByDomainSizes.set(key, possible);
     }
     return possible;
   }
@@ -318,16 +324,16 @@
     }
   }
 
-  // Each load takes proportionally longer once more than the declared number run at a time.
-  #slowness(): number {
+  // Factor by which loads take longer: proportional to running loads once they exceed the declared number.
+  #loadSlowdown(): number {
     const running = this.#hosts.filter(host => host.staging !== undefined).length;
     return Math.max(1, running / this.#profile.loadsAtOnce);
   }
 
-  #find(entry: HostEntry): ModelHost {
+  #hostOf(entry: HostEntry): ModelHost {
     const host = this.#hosts.find(candidate => candidate.id === entry.id);
     if (host === undefined) {
-      throw new Error(`no host ${entry.id}`);
+      throw new Error(`host ${entry.id} is not in the fleet`);
     }
     return host;
   }
@@ -341,10 +347,10 @@
       return {
         fabricDomain,
         failureDomain: hosts[0]?.failureDomain ?? '',
-        free: hosts.filter(host => !grouped.has(host)).map(entryOf),
+        free: hosts.filter(host => !grouped.has(host)).map(hostEntryOf),
         groups: this.#groups
           .filter(group => group.members[0]?.fabricDomain === fabricDomain)
-          .map(placedOf),
+          .map(placedGroupOf),
       };
     });
     const stagingNow = (id: string): string | undefined =>
@@ -361,19 +367,19 @@
   }
 }
 
-// The hosts of a domain, with nothing on them.
-function allOf({ free, groups }: FleetDomain): readonly HostEntry[] {
+// All hosts of a domain, without loaded or staged models.
+function withoutModels({ free, groups }: FleetDomain): readonly HostEntry[] {
   const hosts = [...free, ...groups.flatMap(({ members }) => members)];
   return hosts.map(host => ({ ...host, lastModel: undefined, stagedModels: [] }));
 }
 
-function placedOf(group: ModelGroup): PlacedGroup {
-  const members = group.members.map(entryOf);
+function placedGroupOf(group: ModelGroup): PlacedGroup {
+  const members = group.members.map(hostEntryOf);
   const { name, model, openInMs } = group;
   return { name, model: model.name, members, dissolvable: openInMs === 0 };
 }
 
-function entryOf(host: ModelHost): HostEntry {
+function hostEntryOf(host: ModelHost): HostEntry {
   const { id, fabricDomain, failureDomain, loaded, staged } = host;
   return testHost(id, {
     fabricDomain,
--- a/packages/entry/src/testing/groups.ts
+++ b/packages/entry/src/testing/groups.ts
@@ -1,8 +1,8 @@
-/** Hosts and beliefs for tests of the order giver. */
+/** Hosts and known states for tests of the lease holder's decisions. */
 import type { GroupBeliefs } from '../groups/group-beliefs.js';
 import type { HostEntry, HostReading } from '../hosts/host-entry.js';
 
-/** A host that takes requests, has its model loaded and is in no group, but for `change`. */
+/** Creates an accepting host with a loaded model and no group; `change` overrides fields. */
 export function testHost(id: string, change: Partial<HostEntry> = {}): HostEntry {
   return {
     id,
@@ -21,12 +21,12 @@
   };
 }
 
-/** What a reader gives for an entry that can be read. */
+/** Creates the reading of a valid host entry. */
 export function readTestHost(entry: HostEntry): HostReading {
   return { kind: 'host', entry };
 }
 
-/** Beliefs of an order giver that has seen nothing yet, but for `change`. */
+/** Creates the known state of a lease holder that has observed nothing yet; `change` overrides fields. */
 export function testBeliefs(change: Partial<GroupBeliefs> = {}): GroupBeliefs {
   return {
     formations: new Map(),
--- a/packages/entry/src/testing/no-store.ts
+++ b/packages/entry/src/testing/no-store.ts
@@ -1,10 +1,10 @@
-/** A store that refuses every call, for tests that replace the calls they need. */
+/** A store for tests, which replace the calls that they need. */
 import type { ObjectStore } from '../store/object-store.js';
 import { StoreError } from '../store/object-store.js';
 
 const refuse = (): Promise<never> => Promise.reject(new StoreError('refused', 'not used'));
 
-/** Refuses all. */
+/** Store that refuses every call except `close`, which does nothing. */
 export const NO_STORE: ObjectStore = {
   list: refuse,
   read: refuse,
--- a/packages/entry/src/testing/relay.ts
+++ b/packages/entry/src/testing/relay.ts
@@ -1,4 +1,4 @@
-/** Requests and services for tests of relays, with upstream hosts on loopback. */
+/** Requests, services and upstream hosts on the loopback interface for tests of relays. */
 import type { IncomingMessage, Server, ServerResponse } from 'node:http';
 import { createServer } from 'node:http';
 import type { AddressInfo } from 'node:net';
@@ -19,7 +19,7 @@
 import { Counters, Gauges, Latencies } from '../server/metrics.js';
 import { monotonicMs } from '../server/time.js';
 
-/** Names of the headers in tests. */
+/** Names of the relay headers in tests. */
 export const TEST_HEADERS = {
   requestId: 'x-request-id',
   deadlineMs: 'x-deadline-ms',
@@ -53,8 +53,9 @@
   homeRegions: [],
 };
 
-/** An upstream host that answers by a function. */
+/** An upstream host for tests whose responses are written by a function. */
 export class UpstreamStandIn {
+  /** Request ids of the received requests. */
   readonly seen: string[] = [];
   readonly #server: Server;
 
@@ -66,7 +67,7 @@
     });
   }
 
-  /** Listens on loopback; gives the target that the host is. */
+  /** Listens on the loopback interface and returns this host as a target. */
   async listen(id: string): Promise<Target> {
     await new Promise<void>(resolve => this.#server.listen(0, '127.0.0.1', resolve));
     const { port } = this.#server.address() as AddressInfo;
@@ -74,14 +75,14 @@
     return { host: { ...host, accepting: true } as HostEntry, group: undefined };
   }
 
-  /** Closes all connections. */
+  /** Stops listening and closes all connections. */
   close(): void {
     this.#server.close();
     this.#server.closeAllConnections();
   }
 }
 
-/** Services of which `choose` decides where requests go. */
+/** Creates relay services in which `choose` selects the targets. */
 export function relayServices(choose: TargetChooser['choose']): RelayServices {
   const log = silentLog();
   const counters = new Counters();
@@ -143,10 +144,10 @@
   } as unknown as RelayServices;
 }
 
-/** What a caller got. */
+/** The response that a caller received. */
 export type TestAnswer = { status: number; body: string };
 
-/** A request in progress, as a relay takes it, and what its caller gets. */
+/** Creates the context of a request in progress, and the response that its caller receives. */
 export function requestContext(
   id: string,
   change: Partial<Route> = {},
