--- a/packages/gateway/src/domain/controller-task.ts
+++ b/packages/gateway/src/domain/controller-task.ts
@@ -1,4 +1,4 @@
-/** Follows the controller of the failure domain; tells when none vouches for it any more. */
+/** Polls the controller that certifies the groups of the failure domain, and detects when there is none. */
 import type { LinkPool, PollReply, PollRequest, WorkspaceUsage } from '@hingescale/link';
 import { LINK_REQUESTS } from '@hingescale/link';
 import type { ConfigurationHolder } from '@hingescale/object-store';
@@ -7,13 +7,15 @@
 
 import type { GroupDirectory } from './group-directory.js';
 
-/** Options of the controller task. */
+/** Settings and collaborators of a `ControllerTask`. */
 export type ControllerTaskOptions = {
   readonly instance: string;
   readonly failureDomain: string;
-  /** Own link address, told to others. */
+  /** Link address of this gateway, sent with each poll. */
   readonly address: () => string;
+  /** Link addresses of all controllers of the failure domain. */
   readonly controllers: readonly string[];
+  /** Time between two polls, in milliseconds. */
   readonly periodMs: number;
   readonly links: LinkPool;
   readonly holder: ConfigurationHolder;
@@ -25,60 +27,61 @@
   readonly metrics: Metrics;
 };
 
-/** What the controller task tells. */
+/** Events that a `ControllerTask` emits. */
 export type ControllerMessages = {
-  /** An answer, with the moment its question was sent. */
+  /** A reply, with the monotonic time in milliseconds at which its request was sent. */
   reply: { readonly reply: PollReply; readonly sentAt: number };
 };
 
-/** Periods without a vouching answer after which a controller counts as silent. */
-const SILENT_PERIODS = 3;
+/** Periods without a reply of a certifying controller after which none is assumed to exist. */
+const MAX_SILENT_PERIODS = 3;
 
-/** Polls one controller at a time, the one that vouches. */
+/** Polls one controller at a time and stays with the one that certifies groups. */
 export class ControllerTask extends Task<ControllerMessages> {
-  readonly #pauses = new WakeableSleep();
+  readonly #pollSleep = new WakeableSleep();
   readonly #options: ControllerTaskOptions;
-  #current: string;
-  #vouchedAt = -Infinity;
+  #currentAddress: string;
+  /** Monotonic time in milliseconds at which the last poll that a certifying controller answered was sent. */
+  #lastVouchingAt = -Infinity;
   #sendConfiguration = false;
 
   constructor(options: ControllerTaskOptions) {
     super();
     this.#options = options;
-    this.#current = options.controllers[0] ?? '';
+    this.#currentAddress = options.controllers[0] ?? '';
   }
 
-  /** True while a controller vouches for the failure domain. */
+  /** True while a controller certifies the groups of the failure domain. */
   get led(): boolean {
-    return monotonicMs() - this.#vouchedAt < this.#options.periodMs * SILENT_PERIODS;
+    return monotonicMs() - this.#lastVouchingAt < this.#options.periodMs * MAX_SILENT_PERIODS;
   }
 
-  /** Asks all controllers once, so that a fresh process learns the highest revision around. */
+  /** Polls all controllers once, so that a new process receives the highest revision that any of them has. */
   async askAll(): Promise<void> {
     const { controllers } = this.#options;
     await Promise.all(controllers.map(address => this.#poll(address)));
   }
 
-  /** Starts polling; until the first answers should be there, a controller is assumed. */
+  /** Starts polling. A certifying controller is assumed until the first replies are overdue. */
   start(): void {
-    this.#vouchedAt = monotonicMs();
+    this.#lastVouchingAt = monotonicMs();
     this.run(async () => {
       while (!this.stopped) {
-        const keep = await this.#poll(this.#current);
-        if (!keep) {
-          this.#next();
+        const keepCurrent = await this.#poll(this.#currentAddress);
+        if (!keepCurrent) {
+          this.#selectNext();
         }
-        await this.#pauses.sleep(this.#options.periodMs, this.signal);
+        await this.#pollSleep.sleep(this.#options.periodMs, this.signal);
       }
     });
   }
 
-  /** Polls again at once, for news that should not wait for the next period. */
+  /** Polls again at once, for a report that should not wait for the next period. */
   pollNow(): void {
-    this.#pauses.wake();
+    this.#pollSleep.wake();
   }
 
-  // True when the present controller is the one to ask next time.
+  // Returns true when `#currentAddress` is the controller to poll next.
   async #poll(address: string): Promise<boolean> {
     const { links, periodMs, holder, directory, metrics } = this.#options;
     if (address === '') {
@@ -101,10 +104,10 @@
     }
     this.#sendConfiguration = reply.wantConfiguration;
     if (!reply.vouching) {
-      return this.#follow(reply.activeAddress);
+      return this.#switchTo(reply.activeAddress);
     }
-    this.#current = address;
-    this.#vouchedAt = sentAt;
+    this.#currentAddress = address;
+    this.#lastVouchingAt = sentAt;
     reply.views.forEach(view => {
       directory.takeView(view);
     });
@@ -113,19 +116,19 @@
     return true;
   }
 
-  // True when there is another controller to ask next.
-  #follow(activeAddress: string): boolean {
-    const other = activeAddress !== '' && activeAddress !== this.#current;
-    if (other) {
-      this.#current = activeAddress;
+  // Switches to the reported active controller; returns false when none other than the current one is reported.
+  #switchTo(activeAddress: string): boolean {
+    const isOther = activeAddress !== '' && activeAddress !== this.#currentAddress;
+    if (isOther) {
+      this.#currentAddress = activeAddress;
     }
-    return other;
+    return isOther;
   }
 
-  #next(): void {
+  #selectNext(): void {
     const { controllers } = this.#options;
-    const index = controllers.indexOf(this.#current);
-    this.#current = controllers[(index + 1) % controllers.length] ?? '';
+    const index = controllers.indexOf(this.#currentAddress);
+    this.#currentAddress = controllers[(index + 1) % controllers.length] ?? '';
   }
 
   #request(): PollRequest {
--- a/packages/gateway/src/domain/evacuated-domains.test.ts
+++ b/packages/gateway/src/domain/evacuated-domains.test.ts
@@ -1,4 +1,4 @@
-/** Evacuations as controllers and the platform tell of them. */
+/** Guards against requests to an evacuated failure domain, and against an older order that replaces a newer one. */
 import type { VersionedEvacuation } from '@hingescale/core';
 import { silentLog } from '@hingescale/runtime';
 import { expect } from 'chai';
@@ -10,14 +10,14 @@
 }
 
 describe('evacuated failure domains of a gateway', () => {
-  it('keep everything from being sent until orders, or none, have been heard of', () => {
+  it('allow no requests until a list of orders, even an empty one, is received', () => {
     const domains = new EvacuatedDomains(silentLog());
     expect(domains.mayReceive('a')).to.equal(false);
     domains.take([]);
     expect(domains.mayReceive('a')).to.equal(true);
   });
 
-  it('never go back to an older order, whoever tells it', () => {
+  it('keep the newest order when an older one arrives', () => {
     const domains = new EvacuatedDomains(silentLog());
     domains.take([order('a', 5, true)]);
     domains.take([order('a', 3, false)]);
--- a/packages/gateway/src/domain/evacuated-domains.ts
+++ b/packages/gateway/src/domain/evacuated-domains.ts
@@ -1,23 +1,23 @@
 /**
- * The failure domains that operators have evacuated, as learned from controllers or the platform. An order
- * holds until a newer one: a gateway that reaches neither goes on observing the orders that it knows.
+ * The failure domains that operators have evacuated, as received from controllers or the platform. An order
+ * is in force until a newer one arrives: a gateway that reaches neither source keeps to the orders it has.
  */
 import type { FailureDomainId, VersionedEvacuation } from '@hingescale/core';
 import type { Log } from '@hingescale/runtime';
 
-/** Keeps the newest order about each failure domain. */
+/** Stores the newest evacuation order of each failure domain. */
 export class EvacuatedDomains {
   readonly #log: Log;
   readonly #orders = new Map<FailureDomainId, VersionedEvacuation>();
-  #isKnown = false;
+  #hasReceivedOrders = false;
 
   constructor(log: Log) {
     this.#log = log;
   }
 
-  /** Takes all orders that a controller knows or that were read from the platform, even if there are none. */
+  /** Applies all orders that a controller sent or that were read from the platform; the list may be empty. */
   take(orders: readonly VersionedEvacuation[]): void {
-    this.#isKnown = true;
+    this.#hasReceivedOrders = true;
     for (const order of orders) {
       const { failureDomain, evacuated, operator } = order.evacuation;
       const known = this.#orders.get(failureDomain);
@@ -32,9 +32,9 @@
     }
   }
 
-  /** False while nothing new may be sent to hosts of the failure domain, and before the first `take`. */
+  /** False while hosts of the failure domain may not be sent new requests, and before the first `take`. */
   mayReceive(failureDomain: FailureDomainId): boolean {
     const evacuated = this.#orders.get(failureDomain)?.evacuation.evacuated ?? false;
-    return this.#isKnown && !evacuated;
+    return this.#hasReceivedOrders && !evacuated;
   }
 }
--- a/packages/gateway/src/domain/fallback-task.ts
+++ b/packages/gateway/src/domain/fallback-task.ts
@@ -1,6 +1,6 @@
 /**
- * Serves the failure domain without a controller: the gateway watches the platform and asks the
- * members of the groups it knows itself. Works for known groups also while the platform is out.
+ * Replaces the controller while none certifies groups: the gateway itself watches the platform and
+ * probes the members of known groups. Known groups are also certified while the platform is unavailable.
  */
 import type { DomainView, Evacuation, Ledger } from '@hingescale/core';
 import { buildView, certificateExpiry } from '@hingescale/core';
@@ -18,17 +18,20 @@
 
 import type { GroupDirectory } from './group-directory.js';
 
-/** Options of the fallback task. */
+/** Settings and collaborators of a `FallbackTask`. */
 export type FallbackTaskOptions = {
   readonly failureDomain: string;
   readonly client: PlatformClient;
   readonly hostClient: HostClient;
   readonly holder: ConfigurationHolder;
   readonly directory: GroupDirectory;
+  /** Time between two probes of a member, in milliseconds. */
   readonly probeMs: number;
+  /** Lifetime of a certificate, in milliseconds. */
   readonly certificateMs: number;
+  /** Longest time a watch request waits for a change, in milliseconds. */
   readonly watchWaitMs: number;
-  /** True while a controller vouches, so that this task rests. */
+  /** True while a controller certifies groups, so that this task stays inactive. */
   readonly led: () => boolean;
   readonly log: Log;
   readonly metrics: Metrics;
@@ -41,9 +44,10 @@
   readonly configuration: { readonly stop: () => Promise<void> };
 };
 
-const SOURCE = 'fallback';
+/** Names this task as the source of leaving hosts. */
+const LEAVING_SOURCE = 'fallback';
 
-/** Works while no controller vouches. */
+/** Watches the platform and probes members while no controller certifies groups. */
 export class FallbackTask extends Task<Record<never, never>> {
   readonly #options: FallbackTaskOptions;
   #prober: MemberProber | undefined;
@@ -54,15 +58,15 @@
     this.#options = options;
   }
 
-  /** Starts watching whether it is needed. */
+  /** Starts to check whether the fallback is needed. */
   start(): void {
     const { probeMs, led } = this.#options;
     this.run(async () => {
       while (!this.stopped) {
         if (led()) {
-          await this.#rest();
+          await this.#deactivate();
         } else {
-          this.#work();
+          this.#refresh();
         }
         await sleep(probeMs / 2, this.signal);
       }
@@ -70,23 +74,24 @@
   }
 
   protected override async close(): Promise<void> {
-    await this.#rest();
+    await this.#deactivate();
   }
 
-  #work(): void {
+  // Activates the fallback if necessary, then updates the view and the certificates.
+  #refresh(): void {
     const { hostClient, probeMs, log, metrics } = this.#options;
     if (this.#prober === undefined) {
       this.#prober = new MemberProber(hostClient, probeMs);
       this.#prober.start();
-      this.#watchers = this.#watch();
+      this.#watchers = this.#startWatchers();
       metrics.count('fallback_starts_total');
-      log.warn('no controller vouches; asking members directly');
+      log.warn('no controller certifies groups; probing members directly');
     }
-    this.#takeView();
-    this.#certify(this.#prober);
+    this.#updateDirectory();
+    this.#updateCertificates(this.#prober);
   }
 
-  async #rest(): Promise<void> {
+  async #deactivate(): Promise<void> {
     const prober = this.#prober;
     const watchers = this.#watchers;
     if (prober === undefined || watchers === undefined) {
@@ -94,12 +99,12 @@
     }
     this.#prober = undefined;
     this.#watchers = undefined;
-    this.#options.log.info('a controller vouches again');
-    this.#options.directory.takeLeaving(SOURCE, []);
+    this.#options.log.info('fallback stopped: a controller certifies groups, or the gateway stops');
+    this.#options.directory.takeLeaving(LEAVING_SOURCE, []);
     await Promise.all([prober, ...Object.values(watchers)].map(task => task.stop()));
   }
 
-  #watch(): Watchers {
+  #startWatchers(): Watchers {
     const { client, holder, watchWaitMs } = this.#options;
     const hosts = new HostWatcher(client, watchWaitMs);
     const ledgers = new ObjectWatcher<Ledger>(client, 'ledger', watchWaitMs);
@@ -115,7 +120,7 @@
     };
   }
 
-  #takeView(): void {
+  #updateDirectory(): void {
     const { directory, failureDomain, holder } = this.#options;
     const configuration = holder.configuration;
     const watchers = this.#watchers;
@@ -125,19 +130,19 @@
     if (watchers === undefined || configuration === undefined || !watchers.hosts.synced) {
       return;
     }
-    const own = watchers.hosts.hosts.filter(host => host.failureDomain === failureDomain);
-    const leaving = own.filter(host => host.state === 'leaving').map(host => host.address);
-    directory.takeLeaving(SOURCE, leaving);
+    const domainHosts = watchers.hosts.hosts.filter(host => host.failureDomain === failureDomain);
+    const leaving = domainHosts.filter(host => host.state === 'leaving').map(host => host.address);
+    directory.takeLeaving(LEAVING_SOURCE, leaving);
     if (watchers.ledgers.synced) {
       const ledgers = [...watchers.ledgers.objects.values()].map(object => object.value);
-      const view = buildView(failureDomain, configuration, own, ledgers);
+      const view = buildView(failureDomain, configuration, domainHosts, ledgers);
       if (view.version !== directory.view(failureDomain)?.version) {
         directory.takeView(view);
       }
     }
   }
 
-  #certify(prober: MemberProber): void {
+  #updateCertificates(prober: MemberProber): void {
     const { directory, failureDomain, certificateMs } = this.#options;
     const view: DomainView | undefined = directory.view(failureDomain);
     const groups = view?.groups ?? [];
--- a/packages/gateway/src/domain/group-directory.test.ts
+++ b/packages/gateway/src/domain/group-directory.test.ts
@@ -1,4 +1,4 @@
-/** Guards against refusing requests in the moment between the end of a certificate and the timer that notices it. */
+/** Guards against refusing requests after a certificate has expired and before its timer has run. */
 import type { DomainView } from '@hingescale/core';
 import type { Log } from '@hingescale/runtime';
 import { Metrics, monotonicMs } from '@hingescale/runtime';
@@ -16,7 +16,7 @@
   leaving: [],
 } as unknown as DomainView;
 
-describe('groups whose certificates run out', () => {
+describe('groups whose certificates expire', () => {
   let directory: GroupDirectory;
   let resumedAt: number;
 
@@ -34,12 +34,12 @@
     directory.close();
   });
 
-  it('are certified until then, and not expected to be renewed', () => {
+  it('are certified before the expiry, with no renewal time left to wait', () => {
     expect(directory.certified('g1', 1)).to.equal(true);
     expect(directory.renewalLeftMs('m')).to.equal(0);
   });
 
-  it('are expected to be renewed at once, also before any timer has run', () => {
+  it('are expected to be renewed from the expiry on, even before the timer has run', () => {
     const until = monotonicMs() + 2 * CERTIFICATE_MS;
     while (monotonicMs() < until) {
       // Blocks the event loop, as a suspension of the process does.
@@ -49,7 +49,7 @@
     expect(directory.renewalLeftMs('m')).to.be.greaterThan(1_000);
   });
 
-  it('are not waited for longer than a moment, in which this process has run', () => {
+  it('are awaited for a limited time, which excludes a suspension of this process', () => {
     const since = monotonicMs() - 2_000;
     expect(directory.renewalLeftSince(since)).to.be.below(0);
     resumedAt = monotonicMs();
--- a/packages/gateway/src/domain/group-directory.ts
+++ b/packages/gateway/src/domain/group-directory.ts
@@ -1,4 +1,4 @@
-/** The groups a gateway may use: views, certificates and the moment each one lapses. */
+/** The replica groups that a gateway knows and may use, by views, readiness certificates and their expiry. */
 import type {
   Certificate,
   DomainView,
@@ -13,26 +13,27 @@
 
 import { EvacuatedDomains } from './evacuated-domains.js';
 
-/** What the directory tells. */
+/** Events that a `GroupDirectory` emits. */
 export type DirectoryMessages = {
-  /** A certificate lapsed: streams on that group must end at once. */
+  /** A certificate expired or was dropped: streams on that group must end at once. */
   lapsed: { readonly group: GroupId; readonly epoch: number };
   /** Groups, certificates or leaving hosts changed. */
   changed: undefined;
 };
 
-type Certified = { readonly epoch: number; expiresAt: number };
+/** A held certificate; `expiresAt` is a monotonic time in milliseconds. */
+type HeldCertificate = { readonly epoch: number; expiresAt: number };
 
-/** A group whose certificate ran out of time. */
-type Lapsed = { readonly epoch: number; readonly at: number };
+/** An expired certificate; `at` is the monotonic time in milliseconds at which the expiry was noticed. */
+type ExpiredCertificate = { readonly epoch: number; readonly at: number };
 
 /**
- * Time after a certificate ran out in which it is still expected to be renewed, in milliseconds: its life by default
- * (`certificate-ms`). Members' answers come late where processors are busy; after so long one of them is gone.
+ * Time after the expiry of a certificate in which its renewal is still expected, in milliseconds: the default
+ * lifetime (`certificate-ms`). Members answer late on busy processors; after this time a member has failed.
  */
-const RENEWED_WITHIN_MS = 1_500;
+const RENEWAL_WAIT_MS = 1_500;
 
-/** Keeps views and certificates; fails closed. */
+/** Stores views and certificates. A group without a valid certificate is not used. */
 export class GroupDirectory {
   readonly messages = new Emittery<DirectoryMessages>();
   readonly #log: Log;
@@ -40,46 +41,46 @@
   readonly #resumedAt: () => number;
   readonly #views = new Map<FailureDomainId, DomainView>();
   readonly #groups = new Map<GroupId, GroupView>();
-  readonly #certificates = new Map<GroupId, Certified>();
-  readonly #lapsed = new Map<GroupId, Lapsed>();
-  readonly #leaving = new Map<string, ReadonlySet<string>>();
-  readonly #evacuated: EvacuatedDomains;
-  /** When the newest answered question for certificates was sent. */
-  #answeredAt = monotonicMs();
-  #timer: NodeJS.Timeout | undefined;
-
-  /** `resumedAt`: when this process ran again after an interruption, in monotonic milliseconds. */
+  readonly #certificates = new Map<GroupId, HeldCertificate>();
+  readonly #expired = new Map<GroupId, ExpiredCertificate>();
+  readonly #leavingBySource = new Map<string, ReadonlySet<string>>();
+  readonly #evacuatedDomains: EvacuatedDomains;
+  /** Monotonic time in milliseconds at which the newest answered request for certificates was sent. */
+  #answeredRequestSentAt = monotonicMs();
+  #expiryTimer: NodeJS.Timeout | undefined;
+
+  /** `resumedAt` returns when this process last resumed after an interruption, in monotonic milliseconds. */
   constructor(log: Log, metrics: Metrics, resumedAt: () => number) {
     this.#log = log;
     this.#metrics = metrics;
     this.#resumedAt = resumedAt;
-    this.#evacuated = new EvacuatedDomains(log);
+    this.#evacuatedDomains = new EvacuatedDomains(log);
   }
 
-  /** Versions of the views held, by failure domain. */
+  /** Versions of the stored views, by failure domain. */
   versions(): Record<FailureDomainId, string> {
     return Object.fromEntries([...this.#views].map(([domain, view]) => [domain, view.version]));
   }
 
-  /** The view of a failure domain. */
+  /** The newest view of a failure domain; undefined until one is received. */
   view(failureDomain: FailureDomainId): DomainView | undefined {
     return this.#views.get(failureDomain);
   }
 
-  /** All groups that are known, usable or not. */
+  /** All known groups, usable or not. */
   groups(): GroupView[] {
     return [...this.#groups.values()];
   }
 
-  /** A group by id. */
+  /** The known group with an id. */
   group(id: GroupId): GroupView | undefined {
     return this.#groups.get(id);
   }
 
-  /** Takes a view of one failure domain. */
+  /** Replaces the view of a failure domain and drops the certificates that it invalidates. */
   takeView(view: DomainView): void {
     this.#views.set(view.failureDomain, view);
-    this.#leaving.set(view.failureDomain, new Set(view.leaving));
+    this.#leavingBySource.set(view.failureDomain, new Set(view.leaving));
     for (const [id, group] of this.#groups) {
       if (group.failureDomain === view.failureDomain) {
         this.#groups.delete(id);
@@ -88,18 +89,18 @@
     for (const entry of view.groups) {
       this.#groups.set(entry.group.id, entry);
     }
-    for (const id of this.#lapsed.keys()) {
+    for (const id of this.#expired.keys()) {
       if (!this.#groups.has(id)) {
-        this.#lapsed.delete(id);
+        this.#expired.delete(id);
       }
     }
-    this.#dropUncertifiable();
+    this.#dropInvalidated();
     void this.messages.emit('changed');
   }
 
-  /** Takes certificates; what is left of each counts from when they were asked for. */
+  /** Stores certificates; their remaining times count from `sentAt`, when they were requested (monotonic ms). */
   takeCertificates(certificates: readonly Certificate[], sentAt: number): void {
-    this.#answeredAt = Math.max(this.#answeredAt, sentAt);
+    this.#answeredRequestSentAt = Math.max(this.#answeredRequestSentAt, sentAt);
     for (const { group, epoch, remainingMs } of certificates) {
       const expiresAt = sentAt + remainingMs;
       const known = this.#certificates.get(group);
@@ -110,142 +111,143 @@
         known.expiresAt = Math.max(known.expiresAt, expiresAt);
       } else {
         this.#certificates.set(group, { epoch, expiresAt });
-        this.#lapsed.delete(group);
+        this.#expired.delete(group);
         this.#log.info('group certified', { group, epoch });
         void this.messages.emit('changed');
       }
     }
-    this.#schedule();
+    this.#scheduleExpiry();
   }
 
-  /** Takes addresses of leaving hosts from another source than the view. */
+  /** Replaces the addresses of leaving hosts that a source other than a view reports. */
   takeLeaving(source: string, addresses: readonly string[]): void {
-    this.#leaving.set(source, new Set(addresses));
+    this.#leavingBySource.set(source, new Set(addresses));
     void this.messages.emit('changed');
   }
 
-  /** Takes all orders to evacuate failure domains, from a controller or the platform. */
+  /** Applies all evacuation orders that a controller or the platform sent. */
   takeEvacuations(orders: readonly VersionedEvacuation[]): void {
-    this.#evacuated.take(orders);
+    this.#evacuatedDomains.take(orders);
     void this.messages.emit('changed');
   }
 
-  /** False while nothing new may be sent to hosts of the failure domain, and until evacuations are known. */
+  /** False while hosts of the failure domain may not be sent new requests, and until evacuations are known. */
   mayReceive(failureDomain: FailureDomainId): boolean {
-    return this.#evacuated.mayReceive(failureDomain);
+    return this.#evacuatedDomains.mayReceive(failureDomain);
   }
 
-  /** True when requests of that epoch may be on the group at this moment. */
+  /** True while requests may run on the group in that epoch. */
   certified(id: GroupId, epoch: number): boolean {
     const certificate = this.#certificates.get(id);
     return certificate?.epoch === epoch && monotonicMs() < certificate.expiresAt;
   }
 
-  /** True while the newest view shows that epoch of a group as serving, certified or not. */
+  /** True while the newest view shows the group in that epoch as ready or draining, certified or not. */
   mayServe(id: GroupId, epoch: number): boolean {
     const group = this.#groups.get(id)?.group;
     const serving = group?.state === 'ready' || group?.state === 'draining';
     return serving && group.epoch === epoch;
   }
 
-  /** Groups of a model that may take new requests at this moment. */
+  /** Groups of a model that may receive new requests now. */
   usable(model: string): GroupView[] {
     return [...this.#groups.values()].filter(
       view =>
         view.group.content.model === model &&
         view.group.state === 'ready' &&
         this.certified(view.group.id, view.group.epoch) &&
-        this.#mayUse(view),
+        this.#mayReceiveRequests(view),
     );
   }
 
-  #mayUse({ members, failureDomain }: GroupView): boolean {
+  #mayReceiveRequests({ members, failureDomain }: GroupView): boolean {
     const hasLeaving = members.some(member => this.isLeaving(member.address));
     return this.mayReceive(failureDomain) && !hasLeaving;
   }
 
   /**
-   * For how much longer a certificate of the model is expected to be renewed that ran out a moment ago, in milliseconds;
-   * 0: none is, as the newest view shows no such group as ready, or too much time has passed.
+   * Remaining time in which a recently expired certificate of a group of the model may still be renewed, in
+   * milliseconds; 0 if the newest view shows no such group as ready, or if too much time has passed.
    */
   renewalLeftMs(model: string): number {
     const now = monotonicMs();
-    // After a late turn of the event loop some certificates are over whose timer has not run yet.
-    const over = [...this.#certificates].filter(([, { expiresAt }]) => expiresAt <= now);
-    const lapsed = over.map(([id, { epoch }]) => [id, { epoch, at: now }] as const);
-    const left = [...this.#lapsed, ...lapsed].map(([id, { epoch, at }]) => {
+    // After a delay of the event loop, certificates may have expired before their timer has run.
+    const unprocessed = [...this.#certificates].filter(([, { expiresAt }]) => expiresAt <= now);
+    const expiredNow = unprocessed.map(([id, { epoch }]) => [id, { epoch, at: now }] as const);
+    const left = [...this.#expired, ...expiredNow].map(([id, { epoch, at }]) => {
       const view = this.#groups.get(id);
       const isReady = view?.group.state === 'ready' && view.group.epoch === epoch;
       const isOfModel = view?.group.content.model === model;
-      return isReady && isOfModel && this.#mayUse(view) ? this.renewalLeftSince(at) : 0;
+      return isReady && isOfModel && this.#mayReceiveRequests(view) ? this.renewalLeftSince(at) : 0;
     });
     return Math.max(0, ...left);
   }
 
   /**
-   * The same for a certificate that has been waited for since a moment, in monotonic milliseconds. Time in which this
-   * process did not run does not count: no renewal could reach it.
+   * Remaining time in which a certificate may still be renewed, in milliseconds, if its renewal has been awaited since
+   * `since` (monotonic ms). Time in which this process was suspended does not count: no renewal could reach it.
    */
   renewalLeftSince(since: number): number {
-    return Math.max(since, this.#resumedAt()) + RENEWED_WITHIN_MS - monotonicMs();
+    return Math.max(since, this.#resumedAt()) + RENEWAL_WAIT_MS - monotonicMs();
   }
 
   /** True when the platform lists the host at an address as leaving. */
   isLeaving(address: string): boolean {
-    return [...this.#leaving.values()].some(addresses => addresses.has(address));
+    return [...this.#leavingBySource.values()].some(addresses => addresses.has(address));
   }
 
-  /** Stops the timer. */
+  /** Stops the expiry timer and removes all listeners. */
   close(): void {
-    clearTimeout(this.#timer);
+    clearTimeout(this.#expiryTimer);
     this.messages.clearListeners();
   }
 
-  // Certificates end early when the view shows another epoch or a suspended group.
-  #dropUncertifiable(): void {
+  // Certificates end before their expiry when the view shows another epoch or a group that no longer serves.
+  #dropInvalidated(): void {
     for (const [id, certificate] of this.#certificates) {
       if (!this.mayServe(id, certificate.epoch)) {
-        this.#lapse(id, certificate);
+        this.#drop(id, certificate);
       }
     }
   }
 
-  #lapse(id: GroupId, certificate: Certified): void {
+  #drop(id: GroupId, certificate: HeldCertificate): void {
     this.#certificates.delete(id);
     this.#metrics.count('certificates_lapsed_total');
     const now = monotonicMs();
-    // Own lateness, a silent controller and silent members call for different measures.
+    // `lateMs` and `answeredMsAgo` tell a delay of this process, a silent controller and silent members apart,
+    // since each calls for a different remedy.
     this.#log.warn('group certificate lapsed', {
       group: id,
       epoch: certificate.epoch,
       lateMs: Math.max(0, Math.round(now - certificate.expiresAt)),
-      answeredMsAgo: Math.round(now - this.#answeredAt),
+      answeredMsAgo: Math.round(now - this.#answeredRequestSentAt),
     });
     void this.messages.emit('lapsed', { group: id, epoch: certificate.epoch });
     void this.messages.emit('changed');
   }
 
-  #schedule(): void {
-    clearTimeout(this.#timer);
+  #scheduleExpiry(): void {
+    clearTimeout(this.#expiryTimer);
     const next = Math.min(...[...this.#certificates.values()].map(entry => entry.expiresAt));
     if (Number.isFinite(next)) {
-      this.#timer = setTimeout(
+      this.#expiryTimer = setTimeout(
         () => {
-          this.#expire();
+          this.#dropExpired();
         },
         Math.max(0, next - monotonicMs()) + 1,
       );
     }
   }
 
-  #expire(): void {
+  #dropExpired(): void {
     const now = monotonicMs();
     for (const [id, certificate] of this.#certificates) {
       if (certificate.expiresAt <= now) {
-        this.#lapsed.set(id, { epoch: certificate.epoch, at: now });
-        this.#lapse(id, certificate);
+        this.#expired.set(id, { epoch: certificate.epoch, at: now });
+        this.#drop(id, certificate);
       }
     }
-    this.#schedule();
+    this.#scheduleExpiry();
   }
 }
--- a/packages/gateway/src/keys/key-messages.ts
+++ b/packages/gateway/src/keys/key-messages.ts
@@ -1,6 +1,6 @@
 /** Messages by which gateways agree that a keyed request runs at most once. */
 
-/** An answer that is held for later deliveries of the same key. */
+/** An answer that is stored for later deliveries of the same key. */
 export type StoredAnswer = {
   readonly status: number;
   readonly contentType: string;
@@ -8,15 +8,15 @@
   readonly ranOn: string;
 };
 
-/** What a gateway asks the owner of a key before it runs the request. */
+/** Request by which a gateway asks the owner of a key whether it may run a request. */
 export type ClaimRequest = {
   readonly workspace: string;
   readonly key: string;
-  /** Hash of the request, so that a reused key shows. */
+  /** Hash of the request, by which the owner detects a key that is reused for another request. */
   readonly fingerprint: string;
   /** Id of this delivery. */
   readonly claim: string;
-  /** Gateway that will run it. */
+  /** Gateway that will run the request. */
   readonly executor: string;
   /** Longest time the run may take, in milliseconds. */
   readonly deadlineMs: number;
@@ -35,13 +35,13 @@
   | { readonly kind: 'mismatch' }
   | { readonly kind: 'too-old' };
 
-/** What became of a claimed request. */
+/** Outcome of a claimed request. */
 export type KeyOutcome =
   | { readonly kind: 'done'; readonly answer: StoredAnswer }
   | { readonly kind: 'not-run' }
   | { readonly kind: 'unknown' };
 
-/** What the executor tells the owner when the request has ended. */
+/** Report of the executor to the owner when the request has ended. */
 export type SettleRequest = {
   readonly workspace: string;
   readonly key: string;
@@ -49,7 +49,7 @@
   readonly outcome: KeyOutcome;
 };
 
-/** A record as it is handed to a new owner. */
+/** A record as it is sent to a new owner. */
 export type HandedRecord = {
   readonly id: string;
   readonly fingerprint: string;
@@ -57,25 +57,25 @@
   readonly executor: string;
   readonly state: 'running' | 'done' | 'unknown';
   readonly answer: StoredAnswer | undefined;
-  /** Milliseconds for which it still has to be kept. */
+  /** Remaining time for which the record is kept, in milliseconds. */
   readonly keepMs: number;
-  /** Milliseconds after which a run that is not settled counts as unknown. */
+  /** Remaining time until the outcome of an unsettled run counts as unknown, in milliseconds. */
   readonly runMs: number;
 };
 
-/** Records that an earlier owner hands to a new one; the last part says how complete they are. */
+/** One part of the records that an earlier owner hands to a new one; only the last part has `completeness`. */
 export type HandoverRequest = {
   readonly from: string;
-  /** Epoch of the key table that the handover leads to. */
+  /** Epoch of the key table whose change caused the handover. */
   readonly epoch: number;
   readonly records: readonly HandedRecord[];
   readonly completeness: HandedCompleteness | undefined;
 };
 
-/** How far back the sender's knowledge of the keys it owned is complete. */
+/** Since when, and for which issuing gateways, the sender's records of the keys it owned are complete. */
 export type HandedCompleteness = {
-  /** Wall time in milliseconds; undefined for ever. */
+  /** Wall time in milliseconds; undefined if the records have always been complete. */
   readonly knownSince: number | undefined;
-  /** Gateways that have left and whose issued keys are covered too. */
+  /** Gateways that have left the key table and whose issued keys are covered too. */
   readonly homes: readonly string[];
 };
--- a/packages/gateway/src/keys/key-name.ts
+++ b/packages/gateway/src/keys/key-name.ts
@@ -1,24 +1,27 @@
-/** Idempotency keys as callers send them: UUIDv7, or issued by a gateway that stays their home. */
+/**
+ * Idempotency keys as callers send them: a UUIDv7, or a key issued by a gateway, which names that
+ * gateway as its home.
+ */
 import { uuidV7Time } from '@hingescale/core';
 
-/** Where an issued key has its home. */
+/** The gateway that issued a key, and its failure domain. */
 export type KeyHome = {
   readonly failureDomain: string;
   readonly instance: string;
 };
 
-/** A key that was understood. */
+/** A parsed idempotency key. */
 export type KeyName = {
   readonly text: string;
   /** Wall time in milliseconds at which the key was made. */
   readonly time: number;
-  /** Set for keys that a gateway issued. */
+  /** The issuing gateway; undefined for keys that callers made. */
   readonly home: KeyHome | undefined;
 };
 
 const SEPARATOR = '~';
 
-/** Reads a key; undefined when it is neither a UUIDv7 nor an issued key. */
+/** Parses a key; returns undefined when it is neither a UUIDv7 nor an issued key. */
 export function parseKeyName(text: string): KeyName | undefined {
   const [uuid, failureDomain, instance, ...rest] = text.split(SEPARATOR);
   const time = uuidV7Time(uuid);
@@ -31,7 +34,7 @@
   return instance === undefined ? undefined : { text, time, home: { failureDomain, instance } };
 }
 
-/** Writes a key that has its home at a gateway. */
+/** Formats a key that a gateway issues. */
 export function issueKeyName(uuid: string, home: KeyHome): string {
   return [uuid, home.failureDomain, home.instance].join(SEPARATOR);
 }
--- a/packages/gateway/src/keys/key-ownership.test.ts
+++ b/packages/gateway/src/keys/key-ownership.test.ts
@@ -24,7 +24,7 @@
   return result;
 }
 
-// A fresh key that has these owners, one for each set of instances.
+// Returns a new key that has the given owner in each of the given sets of instances.
 function keyOwnedBy(...path: readonly (readonly [string, readonly string[]])[]) {
   for (;;) {
     const name = parseKeyName(newUuid());
@@ -42,7 +42,7 @@
   const two = ['a', 'b'];
   const three = ['a', 'b', 'c'];
 
-  it('a handover from one owner says nothing of the keys of another', () => {
+  it('a handover from one owner does not cover the keys of another', () => {
     const [, joined] = tables(two, three);
     const joiner = ownership('c');
     joiner.take(joined, LEASE_MS, 0);
@@ -55,16 +55,16 @@
     expect(joiner.judge(ofB, 5 * LEASE_MS).kind).to.equal('lost');
   });
 
-  it('what an owner did not know it can not hand on as complete', () => {
+  it('an owner with incomplete records does not hand them over as complete', () => {
     const [, joined, left] = tables(two, three, ['a', 'c']);
-    const relay = ownership('c');
-    relay.take(joined, LEASE_MS, 0);
-    relay.noteHandover(joined.epoch, 'a', COMPLETE);
-    relay.take(left, 2 * LEASE_MS, 1);
-    expect(relay.completeness.knownSince).to.be.greaterThan(Date.now());
+    const owner = ownership('c');
+    owner.take(joined, LEASE_MS, 0);
+    owner.noteHandover(joined.epoch, 'a', COMPLETE);
+    owner.take(left, 2 * LEASE_MS, 1);
+    expect(owner.completeness.knownSince).to.be.greaterThan(Date.now());
   });
 
-  it('ownership lapses when it is not confirmed', () => {
+  it('ownership expires when it is not confirmed', () => {
     const [first] = tables(['a']);
     const owner = ownership('a');
     owner.take(first, LEASE_MS, 0);
@@ -73,24 +73,24 @@
     expect(owner.judge(key, LEASE_MS).kind).to.equal('unsure');
   });
 
-  it('an issued key has one heir, who must have been told by its home', () => {
+  it('an issued key gets one new owner, which needs a handover from its home', () => {
     const [, rest] = tables(three, two);
     const name = parseKeyName(`${newUuid()}~d~c`);
     if (name === undefined) {
       throw new Error('not a key');
     }
-    const heir = ownerOf(name.text, two, hash) ?? '';
-    const other = two.find(instance => instance !== heir) ?? '';
-    const told = { knownSince: -Infinity, homes: new Set(['c']) };
+    const newOwner = ownerOf(name.text, two, hash) ?? '';
+    const other = two.find(instance => instance !== newOwner) ?? '';
+    const fromHome = { knownSince: -Infinity, homes: new Set(['c']) };
     for (const instance of two) {
       const owner = ownership(instance);
       owner.take(rest, LEASE_MS, 0);
-      owner.noteHandover(rest.epoch, 'c', told);
-      expect(owner.judge(name, 1).kind).to.equal(instance === heir ? 'own' : 'other');
+      owner.noteHandover(rest.epoch, 'c', fromHome);
+      expect(owner.judge(name, 1).kind).to.equal(instance === newOwner ? 'own' : 'other');
     }
-    const untold = ownership(heir);
-    untold.take(rest, 10 * LEASE_MS, 0);
-    untold.noteHandover(rest.epoch, other, COMPLETE);
-    expect(untold.judge(name, 5 * LEASE_MS).kind).to.equal('lost');
+    const uninformed = ownership(newOwner);
+    uninformed.take(rest, 10 * LEASE_MS, 0);
+    uninformed.noteHandover(rest.epoch, other, COMPLETE);
+    expect(uninformed.judge(name, 5 * LEASE_MS).kind).to.equal('lost');
   });
 });
--- a/packages/gateway/src/keys/key-ownership.ts
+++ b/packages/gateway/src/keys/key-ownership.ts
@@ -1,82 +1,93 @@
 /**
- * Judges who owns a key and whether this gateway would know if the key had been claimed before.
+ * Decides which gateway owns an idempotency key, and whether this gateway would have a record if the
+ * key had been claimed before.
  *
- * Ownership rests on the failure domain's key table, which is confirmed by each lease renewal and
- * lapses here by itself. With each change of the table every owner hands the moved records to their
- * new owners, and says since which time its knowledge is complete. A key without a record runs only
- * where the knowledge that came from its owner before reaches back to the key's time. A handover
- * speaks for the keys that its sender owned, never for those of others.
+ * Ownership follows the failure domain's key table. Each lease renewal confirms the table; without a
+ * confirmation, ownership expires on this gateway. When the table changes, every owner hands the moved
+ * records to their new owners and states since which time its records are complete. A key without a
+ * record runs only if the records handed over by its previous owner are complete back to the time at
+ * which the key was made. A handover covers only the keys that its sender owned.
  */
 import type { HashFunction, KeyOwner, KeyOwnerTable, PreviousOwners } from '@hingescale/core';
 import { ownerOf } from '@hingescale/core';
 
 import type { KeyName } from './key-name.js';
 
-/** Longest time a requester waits for the answer to a claim, in milliseconds. */
+/** Time limit for the answer to a claim, in milliseconds. */
 export const CLAIM_TIMEOUT_MS = 1_000;
 
-/** Options of the ownership rules. */
+/** Settings of a `KeyOwnership`. */
 export type KeyOwnershipOptions = {
+  /** Id of this gateway. */
   readonly instance: string;
+  /** Largest difference between the wall clocks of two gateways, in milliseconds. */
   readonly clockSkewMs: number;
   readonly hash: HashFunction;
 };
 
-/** Whether this gateway may decide about a key. */
+/** Whether this gateway may decide on claims of a key. */
 export type Ownership =
   | { readonly kind: 'own' }
   | { readonly kind: 'other'; readonly owner: KeyOwner }
-  /** Nobody can be sure now; asking again may help. */
+  /** The owner, or what it knows, is not certain at present; a later try may succeed. */
   | {
       readonly kind: 'unsure';
       readonly detail: string;
       readonly retryAfterMs: number;
     }
-  /** Nobody will ever know. */
+  /** Earlier records of the key may be lost, so whether it was claimed before will never be known. */
   | { readonly kind: 'lost'; readonly detail: string };
 
-/** How far back the records of an owner are complete. */
+/** Since when, and for which issuing gateways, the records of an owner are complete. */
 export type Completeness = {
-  /** Wall time in milliseconds; keys made since then are in the records if they were claimed. */
+  /** Wall time in milliseconds. Every claimed key that was made since then has a record. */
   readonly knownSince: number;
-  /** Gateways that have left and whose issued keys are covered too. */
+  /** Gateways that have left the key table and whose issued keys are covered too. */
   readonly homes: ReadonlySet<string>;
 };
 
+/** Retry delay while no owner is known or ownership is not confirmed, in milliseconds. */
+const UNCONFIRMED_RETRY_MS = 1_000;
+
 const COMPLETE: Completeness = { knownSince: -Infinity, homes: new Set() };
 
-/** The own failure domain's key table and what was handed over. */
+/** Holds the key table of the gateway's own failure domain and the completeness of received handovers. */
 export class KeyOwnership {
   readonly #options: KeyOwnershipOptions;
-  /** Handovers by the epoch they lead to and by sender; they may come before the table does. */
+  /** Handovers by the table epoch they belong to, then by sender. They may arrive before that table. */
   readonly #handovers = new Map<number, Map<string, Completeness>>();
   #table: KeyOwnerTable | undefined;
-  #before: PreviousOwners | undefined;
-  /** Completeness of this gateway for the keys that it owned before the present epoch. */
-  #own: Completeness = COMPLETE;
-  #seenAt = 0;
+  #previous: PreviousOwners | undefined;
+  /** Completeness of this gateway's records for the keys that it owned before the current epoch. */
+  #ownCompleteness: Completeness = COMPLETE;
+  /** Monotonic time in milliseconds at which the table was received. */
+  #tableReceivedAt = 0;
+  /** Monotonic time in milliseconds until which the table is confirmed. */
   #confirmedUntil = -Infinity;
 
   constructor(options: KeyOwnershipOptions) {
     this.#options = options;
   }
 
-  /** The table in force here. */
+  /** The newest key table; undefined until one is received. */
   get table(): KeyOwnerTable | undefined {
     return this.#table;
   }
 
-  /** Completeness for the keys owned before the present epoch, to be told with handovers. */
+  /** Completeness for the keys owned before the current epoch, sent along with handovers. */
   get completeness(): Completeness {
-    return this.#own;
+    return this.#ownCompleteness;
   }
 
-  /** True when this gateway owned keys in the epoch before. */
+  /** True when this gateway owned keys in the previous epoch. */
   get ownedBefore(): boolean {
-    return this.#before?.instances.includes(this.#options.instance) ?? false;
+    return this.#previous?.instances.includes(this.#options.instance) ?? false;
   }
 
-  /** Takes a table that is vouched for until `confirmedUntil`; true when its epoch is new. */
+  /**
+   * Applies a table that is confirmed until `confirmedUntil`; returns true when its epoch is new.
+   * `confirmedUntil` and `now` are monotonic times in milliseconds.
+   */
   take(table: KeyOwnerTable, confirmedUntil: number, now: number): boolean {
     const epoch = this.#table?.epoch ?? -1;
     if (table.epoch <= epoch) {
@@ -85,74 +96,79 @@
       }
       return false;
     }
-    this.#stepThrough(table, epoch);
+    this.#applyEarlierEpochs(table, epoch);
     this.#table = table;
     this.#confirmedUntil = confirmedUntil;
-    this.#seenAt = now;
+    this.#tableReceivedAt = now;
     return true;
   }
 
-  /** Notes a whole handover that leads to an epoch. */
+  /** Records that the whole handover of a sender for an epoch has been received. */
   noteHandover(epoch: number, from: string, completeness: Completeness): void {
-    const known = this.#handovers.get(epoch) ?? new Map<string, Completeness>();
-    known.set(from, completeness);
-    this.#handovers.set(epoch, known);
+    const bySender = this.#handovers.get(epoch) ?? new Map<string, Completeness>();
+    bySender.set(from, completeness);
+    this.#handovers.set(epoch, bySender);
   }
 
-  /** Judges a key. */
+  /** Determines who owns a key at `now` (monotonic milliseconds) and whether a claim can be decided here. */
   judge(key: KeyName, now: number): Ownership {
     if (key.home?.instance === this.#options.instance) {
       return { kind: 'own' };
     }
     const table = this.#table;
     if (table === undefined || table.owners.length === 0) {
-      return { kind: 'unsure', detail: 'no key owners are known', retryAfterMs: 1_000 };
+      return {
+        kind: 'unsure',
+        detail: 'no key owners are known',
+        retryAfterMs: UNCONFIRMED_RETRY_MS,
+      };
     }
-    const owner = this.#homeIn(table, key) ?? this.ownerIn(table, key.text);
+    const owner = this.#homeOwnerIn(table, key) ?? this.ownerIn(table, key.text);
     if (owner !== undefined && owner.instance !== this.#options.instance) {
       return { kind: 'other', owner };
     }
     if (now >= this.#confirmedUntil) {
       const detail = 'ownership of keys is not confirmed at present';
-      return { kind: 'unsure', detail, retryAfterMs: 1_000 };
+      return { kind: 'unsure', detail, retryAfterMs: UNCONFIRMED_RETRY_MS };
     }
-    return this.#judgeKnowledge(key, now);
+    return this.#checkCompleteness(key, now);
   }
 
-  /** The owner of a key by the present table. */
+  /** The owner of a key by the hash over the owners in a table. */
   ownerIn(table: KeyOwnerTable, key: string): KeyOwner | undefined {
     const instances = table.owners.map(owner => owner.instance);
     const instance = ownerOf(key, instances, this.#options.hash);
     return table.owners.find(owner => owner.instance === instance);
   }
 
-  // While the home is there it alone decides about the keys it issued.
-  #homeIn(table: KeyOwnerTable, key: KeyName): KeyOwner | undefined {
+  // A gateway that is listed in the table owns all keys that it issued.
+  #homeOwnerIn(table: KeyOwnerTable, key: KeyName): KeyOwner | undefined {
     return table.owners.find(owner => owner.instance === key.home?.instance);
   }
 
-  #judgeKnowledge(key: KeyName, now: number): Ownership {
+  #checkCompleteness(key: KeyName, now: number): Ownership {
     const home = key.home?.instance;
-    const source = this.#sourceOf(key);
-    const known = source === undefined ? this.#own : this.#fromSource(source);
+    const previousOwner = this.#previousOwnerOf(key);
+    const known =
+      previousOwner === undefined ? this.#ownCompleteness : this.#completenessOf(previousOwner);
     if (known === undefined) {
-      const waitMs = this.#seenAt + this.#graceMs() - now;
+      const waitMs = this.#tableReceivedAt + this.#graceMs() - now;
       if (waitMs > 0) {
         const detail = 'the key is moving to another gateway';
         return { kind: 'unsure', detail, retryAfterMs: waitMs };
       }
     }
-    const since = known?.knownSince ?? this.#cutoff();
+    const since = known?.knownSince ?? this.#knownSinceWithoutHandover();
     const homeKnown = home === undefined || (known?.homes.has(home) ?? false);
     if (key.time < since || !homeKnown) {
-      return { kind: 'lost', detail: 'the gateway that kept the key is gone' };
+      return { kind: 'lost', detail: 'earlier records of the key may be lost with their gateway' };
     }
     return { kind: 'own' };
   }
 
-  // The owner before; for issued keys their home, as long as it was there.
-  #sourceOf(key: KeyName): string | undefined {
-    const instances = this.#before?.instances ?? [];
+  // The owner in the previous epoch: for issued keys their home while it was listed, else the owner by hash.
+  #previousOwnerOf(key: KeyName): string | undefined {
+    const instances = this.#previous?.instances ?? [];
     const home = key.home?.instance;
     if (home !== undefined && instances.includes(home)) {
       return home;
@@ -160,22 +176,22 @@
     return ownerOf(key.text, instances, this.#options.hash);
   }
 
-  #fromSource(source: string): Completeness | undefined {
-    if (source === this.#options.instance) {
-      return this.#own;
+  #completenessOf(previousOwner: string): Completeness | undefined {
+    if (previousOwner === this.#options.instance) {
+      return this.#ownCompleteness;
     }
-    return this.#handovers.get(this.#table?.epoch ?? -1)?.get(source);
+    return this.#handovers.get(this.#table?.epoch ?? -1)?.get(previousOwner);
   }
 
-  // Before a newer table is taken, what the present epoch brought becomes own knowledge.
-  #stepThrough(table: KeyOwnerTable, from: number): void {
-    const entries = table.previous.filter(entry => entry.epoch >= from);
+  // Before a newer table applies, the handovers of each epoch up to it are merged into the own completeness.
+  #applyEarlierEpochs(table: KeyOwnerTable, fromEpoch: number): void {
+    const entries = table.previous.filter(entry => entry.epoch >= fromEpoch);
     for (const entry of [...entries].reverse()) {
-      this.#own = this.#fold(entry.epoch);
-      this.#before = entry;
+      this.#ownCompleteness = this.#mergeHandovers(entry.epoch);
+      this.#previous = entry;
     }
     if (entries.length === 0) {
-      this.#before = undefined;
+      this.#previous = undefined;
     }
     for (const epoch of this.#handovers.keys()) {
       if (epoch < table.epoch) {
@@ -184,28 +200,32 @@
     }
   }
 
-  #fold(epoch: number): Completeness {
+  // A merge is as complete as its least complete part; see `#knownSinceWithoutHandover` for a missing part.
+  #mergeHandovers(epoch: number): Completeness {
     const handovers = this.#handovers.get(epoch);
-    const parts = (this.#before?.instances ?? []).map(instance =>
+    const parts = (this.#previous?.instances ?? []).map(instance =>
       instance === this.#options.instance
-        ? this.#own
-        : (handovers?.get(instance) ?? { knownSince: this.#cutoff(), homes: new Set<string>() }),
+        ? this.#ownCompleteness
+        : (handovers?.get(instance) ?? {
+            knownSince: this.#knownSinceWithoutHandover(),
+            homes: new Set<string>(),
+          }),
     );
     if (parts.length === 0) {
-      return this.#own;
+      return this.#ownCompleteness;
     }
     const homes = [...parts[0].homes].filter(home => parts.every(part => part.homes.has(home)));
     const knownSince = Math.max(...parts.map(part => part.knownSince));
     return { knownSince, homes: new Set(homes) };
   }
 
-  // An earlier owner that is not heard may rely on its last confirmation for a whole lease.
+  // An earlier owner that is unreachable may rely on its last confirmation for a whole lease.
   #graceMs(): number {
     return (this.#table?.leaseMs ?? 0) + CLAIM_TIMEOUT_MS;
   }
 
-  // Keys made before this may have been claimed at an earlier owner that was not heard.
-  #cutoff(): number {
-    return (this.#before?.replacedAt ?? 0) + this.#graceMs() + this.#options.clockSkewMs;
+  // Keys made before this wall time may have been claimed at an earlier owner whose handover did not arrive.
+  #knownSinceWithoutHandover(): number {
+    return (this.#previous?.replacedAt ?? 0) + this.#graceMs() + this.#options.clockSkewMs;
   }
 }
--- a/packages/gateway/src/keys/key-records.ts
+++ b/packages/gateway/src/keys/key-records.ts
@@ -1,4 +1,4 @@
-/** The records an owner keeps of keys, bounded in time and in bytes of held answers. */
+/** The records that an owner keeps of claimed keys, limited in age and in bytes of stored answers. */
 import { monotonicMs } from '@hingescale/runtime';
 
 import type {
@@ -10,6 +10,7 @@
   StoredAnswer,
 } from './key-messages.js';
 
+/** One claimed key; `keepUntil` and `runUntil` are monotonic times in milliseconds. */
 type KeyRecord = {
   readonly fingerprint: string;
   readonly claim: string;
@@ -20,18 +21,18 @@
   readonly runUntil: number;
 };
 
-/** Time by which a run may exceed its deadline before it counts as unknown. */
+/** Time by which a run may exceed its deadline before its outcome counts as unknown, in milliseconds. */
 const RUN_MARGIN_MS = 5_000;
 
-/** Options of the records. */
+/** Limits of a `KeyRecords`. */
 export type KeyRecordsOptions = {
   /** Milliseconds for which a record is kept. */
   readonly keepMs: number;
-  /** Bytes of answers held; the oldest answers go first, their records stay. */
+  /** Limit on the stored answers, in bytes; the oldest answers are dropped first, their records stay. */
   readonly answerBytes: number;
 };
 
-/** Records by workspace and key. Workspaces never see each other's. */
+/** Stores records by workspace and key; a workspace cannot see records of another one. */
 export class KeyRecords {
   readonly #options: KeyRecordsOptions;
   readonly #records = new Map<string, KeyRecord>();
@@ -41,42 +42,42 @@
     this.#options = options;
   }
 
-  /** Number of records. */
+  /** Number of records, expired ones included until the next claim drops them. */
   get size(): number {
     return this.#records.size;
   }
 
-  /** Decides on a claim; the first one may run. */
+  /** Answers a claim; only the first claim of a key may run. */
   claim(request: ClaimRequest): ClaimReply {
     this.#dropExpired();
-    const known = this.lookUp(request);
-    if (known !== undefined) {
-      return known;
+    const reply = this.lookUp(request);
+    if (reply !== undefined) {
+      return reply;
     }
     this.#start(recordId(request.workspace, request.key), request);
     return { kind: 'run' };
   }
 
-  /** What is known of a key; undefined when nothing is. */
+  /** The reply that the record of a key gives to a claim; undefined without a record. */
   lookUp(request: ClaimRequest): ClaimReply | undefined {
     const record = this.#records.get(recordId(request.workspace, request.key));
     if (record === undefined) {
       return undefined;
     }
     const same = record.fingerprint === request.fingerprint;
-    return same ? this.#present(record) : { kind: 'mismatch' };
+    return same ? this.#replyFrom(record) : { kind: 'mismatch' };
   }
 
-  /** Takes what became of a run; only the delivery that claimed may settle. */
+  /** Applies the outcome of a run; only the delivery that made the claim may settle it. */
   settle(request: SettleRequest): void {
     const id = recordId(request.workspace, request.key);
     const record = this.#records.get(id);
     if (record?.claim === request.claim && record.state !== 'done') {
-      this.#apply(id, record, request.outcome);
+      this.#applyOutcome(id, record, request.outcome);
     }
   }
 
-  /** Records that `select` chooses, for a new owner. */
+  /** Exports the records of the keys that `select` accepts, for a new owner. */
   handOver(select: (key: string) => boolean): HandedRecord[] {
     const now = monotonicMs();
     return [...this.#records]
@@ -93,7 +94,7 @@
       }));
   }
 
-  /** Takes records of an earlier owner; what is known here already stays. */
+  /** Imports records of an earlier owner. A record that exists here stays, unless only the imported one is done. */
   takeOver(records: readonly HandedRecord[]): void {
     const now = monotonicMs();
     for (const { id, keepMs, runMs, ...rest } of records) {
@@ -104,7 +105,7 @@
           keepUntil: now + keepMs,
           runUntil: now + runMs,
         });
-        this.#hold(rest.answer);
+        this.#countAnswer(rest.answer);
       }
     }
   }
@@ -122,7 +123,7 @@
     });
   }
 
-  #present(record: KeyRecord): ClaimReply {
+  #replyFrom(record: KeyRecord): ClaimReply {
     if (record.state === 'done') {
       return { kind: 'done', answer: record.answer };
     }
@@ -131,12 +132,12 @@
     }
     return {
       kind: 'unknown',
-      detail: 'the run was not heard to end',
+      detail: 'the end of the run was not reported',
       retryAfterMs: 0,
     };
   }
 
-  #apply(id: string, record: KeyRecord, outcome: KeyOutcome): void {
+  #applyOutcome(id: string, record: KeyRecord, outcome: KeyOutcome): void {
     if (outcome.kind === 'not-run') {
       this.#records.delete(id);
     } else if (outcome.kind === 'unknown') {
@@ -144,11 +145,12 @@
     } else {
       record.state = 'done';
       record.answer = outcome.answer;
-      this.#hold(outcome.answer);
+      this.#countAnswer(outcome.answer);
     }
   }
 
-  #hold(answer: StoredAnswer | undefined): void {
+  // Adds an answer to the stored bytes, and drops the oldest answers over the limit.
+  #countAnswer(answer: StoredAnswer | undefined): void {
     this.#answerBytes += answer?.body.length ?? 0;
     if (this.#answerBytes <= this.#options.answerBytes) {
       return;
@@ -162,7 +164,8 @@
     }
   }
 
-  // Records stand in the order of their claims, so the oldest come first.
+  // The map keeps insertion order, so the oldest claims of this gateway come first. Imported records are inserted
+  // later than they were claimed, and may be dropped late.
   #dropExpired(): void {
     const now = monotonicMs();
     for (const [id, record] of this.#records) {
--- a/packages/gateway/src/keys/key-task.ts
+++ b/packages/gateway/src/keys/key-task.ts
@@ -1,4 +1,4 @@
-/** At most once for keyed requests: claims, settlements and handovers between gateways. */
+/** Runs each keyed request at most once, by claims, settlements and handovers between gateways. */
 import type { HashFunction, KeyOwner } from '@hingescale/core';
 import { ownerOf } from '@hingescale/core';
 import type { KeyGrant, LinkPool } from '@hingescale/link';
@@ -21,38 +21,46 @@
 import { CLAIM_TIMEOUT_MS, KeyOwnership } from './key-ownership.js';
 import { KeyRecords } from './key-records.js';
 
-/** Options of the key task. */
+/** Settings and collaborators of a `KeyTask`. */
 export type KeyTaskOptions = {
+  /** Id of this gateway. */
   readonly instance: string;
   readonly failureDomain: string;
   readonly links: LinkPool;
   readonly hash: HashFunction;
+  /** Age at which a key is refused as too old, in milliseconds; the clock skew is subtracted from it. */
   readonly keyMemoryMs: number;
   readonly clockSkewMs: number;
+  /** Limit on the stored answers, in bytes. */
   readonly answerBytes: number;
-  /** Failure domains over which keys are spread, in the order of the configuration. */
+  /** Failure domains among which keys are distributed, in the order of the configuration. */
   readonly failureDomains: () => readonly string[];
   readonly log: Log;
   readonly metrics: Metrics;
 };
 
-/** A claim that was granted. */
+/** A claim that the owner granted. */
 export type GrantedClaim = {
   readonly name: KeyName;
   readonly request: ClaimRequest;
 };
 
-/** Rounds in which an unsure claim is asked again, while keys move between gateways. */
-const CLAIM_ROUNDS = 8;
+/** Attempts at a claim that cannot be decided yet, for example while keys move between gateways. */
+const CLAIM_ATTEMPTS = 8;
 const CLAIM_PAUSE_MS = 150;
-const SETTLE_ROUNDS = 20;
+const SETTLE_ATTEMPTS = 20;
 const SETTLE_PAUSE_MS = 500;
-const HANDOVER_ROUNDS = 20;
+const HANDOVER_ATTEMPTS = 20;
 const HANDOVER_PAUSE_MS = 250;
 const HANDOVER_PART_BYTES = 1_000_000;
-const RECORD_OVERHEAD = 300;
-
-/** Owns this gateway's key records and its part in the key table. */
+/** Estimated size of a record without the body of its answer, in bytes. */
+const RECORD_OVERHEAD_BYTES = 300;
+/** Retry delay while the owner is unknown or unreachable, in milliseconds. */
+const OWNER_RETRY_MS = 1_000;
+/** Retry delay while keys move to another gateway, in milliseconds. */
+const KEY_MOVE_RETRY_MS = 300;
+
+/** Keeps this gateway's key records, and claims and settles keys at their owners. */
 export class KeyTask extends Task<Record<never, never>> {
   readonly #options: KeyTaskOptions;
   readonly #records: KeyRecords;
@@ -78,41 +86,41 @@
     return this.#records.size;
   }
 
-  /** Gateways of the failure domain that own keys. */
+  /** Number of gateways in the failure domain that own keys. */
   get ownerCount(): number {
     return this.#ownership.table?.owners.length ?? 0;
   }
 
-  /** True while the key table names this gateway. */
+  /** True while the key table lists this gateway as an owner. */
   get listed(): boolean {
     const owners = this.#ownership.table?.owners ?? [];
     return owners.some(owner => owner.instance === this.#options.instance);
   }
 
-  /** Takes the key tables of a poll's answer; what is left of each counts from `sentAt`. */
+  /** Applies the key tables of a poll reply; their remaining times count from `sentAt` (monotonic milliseconds). */
   takeGrants(grants: readonly KeyGrant[], sentAt: number): void {
     for (const grant of grants) {
       this.#grants.set(grant.failureDomain, grant);
       if (grant.failureDomain === this.#options.failureDomain) {
-        const until = sentAt + grant.remainingMs;
-        if (this.#ownership.take(grant.table, until, monotonicMs())) {
-          this.#handOver();
+        const confirmedUntil = sentAt + grant.remainingMs;
+        if (this.#ownership.take(grant.table, confirmedUntil, monotonicMs())) {
+          this.#startHandovers();
         }
       }
     }
   }
 
-  /** Issues a key that has its home here; undefined while others could not find the way. */
+  /** Issues a key whose home is this gateway; undefined unless the key table lists it and it is not leaving. */
   issue(): string | undefined {
     const { instance, failureDomain } = this.#options;
     const ready = this.listed && !this.#leaving;
     return ready ? issueKeyName(newUuid(), { failureDomain, instance }) : undefined;
   }
 
-  /** Asks the owner of a key whether the request may run. */
+  /** Asks the owner of a key whether the request may run; retries while that cannot be decided. */
   async claim(name: KeyName, request: ClaimRequest): Promise<ClaimReply> {
     let reply: ClaimReply = await this.#claimOnce(name, request);
-    for (let round = 1; round < CLAIM_ROUNDS && worthAskingAgain(reply); round++) {
+    for (let attempt = 1; attempt < CLAIM_ATTEMPTS && isRetryable(reply); attempt++) {
       await sleep(CLAIM_PAUSE_MS, this.signal);
       reply = await this.#claimOnce(name, request);
     }
@@ -120,7 +128,7 @@
     return reply;
   }
 
-  /** Tells the owner what became of a run; goes on trying for a while in the background. */
+  /** Reports the outcome of a run to the owner; after a failure it retries in the background. */
   async settle(name: KeyName, request: ClaimRequest, outcome: KeyOutcome): Promise<void> {
     const { workspace, key, claim } = request;
     const settlement: SettleRequest = { workspace, key, claim, outcome };
@@ -131,7 +139,7 @@
     }
   }
 
-  /** Answers a claim of another gateway. */
+  /** Answers a claim from another gateway. */
   answerClaim(request: ClaimRequest): ClaimReply {
     const name = parseKeyName(request.key);
     if (name === undefined) {
@@ -144,18 +152,20 @@
     return this.#decide(name, request);
   }
 
-  /** Takes a settlement; one for a key that moved is passed on. */
+  /** Applies a settlement; forwards it to the owner if the key has moved. */
   async answerSettle(request: SettleRequest): Promise<void> {
     this.#records.settle(request);
     const name = parseKeyName(request.key);
-    const judged = name && this.#ownership.judge(name, monotonicMs());
-    if (judged?.kind === 'other') {
+    const ownership = name && this.#ownership.judge(name, monotonicMs());
+    if (ownership?.kind === 'other') {
       const { links } = this.#options;
-      await links.to(judged.owner.address).request(LINK_REQUESTS.settle, request, CLAIM_TIMEOUT_MS);
+      await links
+        .to(ownership.owner.address)
+        .request(LINK_REQUESTS.settle, request, CLAIM_TIMEOUT_MS);
     }
   }
 
-  /** Takes records from an earlier owner. */
+  /** Adds the records that an earlier owner hands over. */
   answerHandover(request: HandoverRequest): void {
     this.#records.takeOver(request.records);
     const { completeness, epoch, from } = request;
@@ -168,33 +178,33 @@
     this.#options.metrics.count('key_records_received_total', {}, request.records.length);
   }
 
-  /** From now on issued keys are handed over too; call before the planned stop's last poll. */
+  /** Hands over issued keys too from now on. Call it before the last poll of a planned stop. */
   leave(): void {
     this.#leaving = true;
   }
 
-  /** Resolves when all settlements that have begun are done or given up. */
+  /** Resolves when all settlements that were started have succeeded or been given up. */
   async settled(): Promise<void> {
     await Promise.all([...this.#settling]);
   }
 
-  /** Resolves when all handovers that have begun are done or given up. */
+  /** Resolves when all handovers that were started have succeeded or been given up. */
   async handedOver(): Promise<void> {
     await Promise.all([...this.#handovers]);
   }
 
   async #claimOnce(name: KeyName, request: ClaimRequest): Promise<ClaimReply> {
-    const domain = this.#domainOf(name);
+    const domain = this.#ownerDomainOf(name);
     if (domain === this.#options.failureDomain) {
-      const judged = this.#ownership.judge(name, monotonicMs());
-      return judged.kind === 'other'
-        ? this.#askOwner(judged.owner, request)
+      const ownership = this.#ownership.judge(name, monotonicMs());
+      return ownership.kind === 'other'
+        ? this.#askOwner(ownership.owner, request)
         : this.#decide(name, request);
     }
     const owner = this.#remoteOwner(domain, name);
     if (owner === undefined) {
       const detail = `no gateway of failure domain ${domain} is known`;
-      return { kind: 'unknown', detail, retryAfterMs: 1_000 };
+      return { kind: 'unknown', detail, retryAfterMs: OWNER_RETRY_MS };
     }
     return this.#askOwner(owner, request);
   }
@@ -207,7 +217,7 @@
       return await link.request<ClaimReply>(LINK_REQUESTS.claim, request, CLAIM_TIMEOUT_MS);
     } catch (error) {
       const detail = `the key's gateway does not answer: ${(error as Error).message}`;
-      return { kind: 'unknown', detail, retryAfterMs: 1_000 };
+      return { kind: 'unknown', detail, retryAfterMs: OWNER_RETRY_MS };
     }
   }
 
@@ -217,30 +227,30 @@
     if (name.time < wallMs - keyMemoryMs + clockSkewMs) {
       return { kind: 'too-old' };
     }
-    const judged = this.#ownership.judge(name, monotonicMs());
-    switch (judged.kind) {
+    const ownership = this.#ownership.judge(name, monotonicMs());
+    switch (ownership.kind) {
       case 'own':
         return this.#leaving
           ? {
               kind: 'unknown',
               detail: 'the gateway is stopping',
-              retryAfterMs: 300,
+              retryAfterMs: KEY_MOVE_RETRY_MS,
             }
           : this.#records.claim(request);
       case 'other':
         return {
           kind: 'unknown',
           detail: 'the key has moved',
-          retryAfterMs: 300,
+          retryAfterMs: KEY_MOVE_RETRY_MS,
         };
       case 'unsure':
       case 'lost':
-        // What has a record is known, whatever else is not.
-        return this.#records.lookUp(request) ?? notKnown(judged);
+        // An existing record is valid even if the records as a whole are incomplete.
+        return this.#records.lookUp(request) ?? unknownReply(ownership);
     }
   }
 
-  #domainOf(name: KeyName): string {
+  #ownerDomainOf(name: KeyName): string {
     const { failureDomains, hash, failureDomain } = this.#options;
     if (name.home !== undefined) {
       return name.home.failureDomain;
@@ -255,16 +265,16 @@
   }
 
   async #settleOnce(name: KeyName, request: SettleRequest): Promise<boolean> {
-    const domain = this.#domainOf(name);
-    const judged =
+    const domain = this.#ownerDomainOf(name);
+    const ownership =
       domain === this.#options.failureDomain
         ? this.#ownership.judge(name, monotonicMs())
         : undefined;
-    const owner = judged?.kind === 'other' ? judged.owner : undefined;
-    const target = judged === undefined ? this.#remoteOwner(domain, name) : owner;
+    const owner = ownership?.kind === 'other' ? ownership.owner : undefined;
+    const target = ownership === undefined ? this.#remoteOwner(domain, name) : owner;
     if (target === undefined) {
       this.#records.settle(request);
-      return judged !== undefined;
+      return ownership !== undefined;
     }
     try {
       const link = this.#options.links.to(target.address);
@@ -276,7 +286,7 @@
   }
 
   async #settleLater(name: KeyName, request: SettleRequest): Promise<void> {
-    for (let round = 0; round < SETTLE_ROUNDS && !this.stopped; round++) {
+    for (let attempt = 0; attempt < SETTLE_ATTEMPTS && !this.stopped; attempt++) {
       await sleep(SETTLE_PAUSE_MS, this.signal);
       if (await this.#settleOnce(name, request)) {
         return;
@@ -285,8 +295,8 @@
     this.#options.metrics.count('key_settlements_lost_total');
   }
 
-  // Every other owner gets a handover, an empty one too: it says that nothing was left out.
-  #handOver(): void {
+  // Every other owner is sent a handover, even an empty one: it states that no record was left out.
+  #startHandovers(): void {
     const table = this.#ownership.table;
     if (table === undefined || !this.#ownership.ownedBefore) {
       return;
@@ -306,10 +316,10 @@
 
   #completeness(): HandedCompleteness {
     const { knownSince, homes } = this.#ownership.completeness;
-    const left = this.#leaving && !this.listed ? [this.#options.instance] : [];
+    const departed = this.#leaving && !this.listed ? [this.#options.instance] : [];
     return {
       knownSince: Number.isFinite(knownSince) ? knownSince : undefined,
-      homes: [...homes, ...left],
+      homes: [...homes, ...departed],
     };
   }
 
@@ -326,7 +336,7 @@
     return this.#ownership.ownerIn(table, key)?.instance === owner.instance;
   }
 
-  // Only the last part says how complete it all is, so that a handover cut short says nothing.
+  // Only the last part carries the completeness, so that an interrupted handover claims none.
   async #sendHandover(
     owner: KeyOwner,
     epoch: number,
@@ -345,7 +355,7 @@
   }
 
   async #sendPart(owner: KeyOwner, request: HandoverRequest): Promise<boolean> {
-    for (let round = 0; round < HANDOVER_ROUNDS && !this.stopped; round++) {
+    for (let attempt = 0; attempt < HANDOVER_ATTEMPTS && !this.stopped; attempt++) {
       try {
         const link = this.#options.links.to(owner.address);
         await link.request(LINK_REQUESTS.handover, request, CLAIM_TIMEOUT_MS * 2);
@@ -359,12 +369,12 @@
   }
 }
 
-/** Splits records into parts that fit into a frame; at least one part, maybe empty. */
+/** Splits records into parts that fit into a frame; returns at least one part, which may be empty. */
 function splitRecords(records: readonly HandedRecord[]): HandedRecord[][] {
   const parts: HandedRecord[][] = [[]];
   let size = 0;
   for (const record of records) {
-    const recordSize = RECORD_OVERHEAD + (record.answer?.body.length ?? 0);
+    const recordSize = RECORD_OVERHEAD_BYTES + (record.answer?.body.length ?? 0);
     if (size + recordSize > HANDOVER_PART_BYTES && size > 0) {
       parts.push([]);
       size = 0;
@@ -375,11 +385,11 @@
   return parts;
 }
 
-function notKnown(judged: Exclude<Ownership, { kind: 'own' | 'other' }>): ClaimReply {
-  const retryAfterMs = judged.kind === 'unsure' ? judged.retryAfterMs : 0;
-  return { kind: 'unknown', detail: judged.detail, retryAfterMs };
+function unknownReply(ownership: Exclude<Ownership, { kind: 'own' | 'other' }>): ClaimReply {
+  const retryAfterMs = ownership.kind === 'unsure' ? ownership.retryAfterMs : 0;
+  return { kind: 'unknown', detail: ownership.detail, retryAfterMs };
 }
 
-function worthAskingAgain(reply: ClaimReply): boolean {
+function isRetryable(reply: ClaimReply): boolean {
   return reply.kind === 'unknown' && reply.retryAfterMs > 0;
 }
