--- a/packages/gateway/src/domain/controller-task.ts
+++ b/packages/gateway/src/domain/controller-task.ts
@@ -20,8 +20,10 @@
   readonly links: LinkPool;
   readonly holder: ConfigurationHolder;
   readonly directory: GroupDirectory;
+  /** True while this gateway is stopping, which each poll reports. */
   readonly leaving: () => boolean;
   readonly usage: () => readonly WorkspaceUsage[];
+  /** Number of the cache event from which each group's events are requested, by group id. */
   readonly cacheFrom: () => Readonly<Record<string, number>>;
   readonly log: Log;
   readonly metrics: Metrics;
--- a/packages/gateway/src/domain/group-directory.ts
+++ b/packages/gateway/src/domain/group-directory.ts
@@ -29,7 +29,8 @@
 
 /**
  * Time after the expiry of a certificate in which its renewal is still expected, in milliseconds: the default
- * lifetime (`certificate-ms`). Members answer late on busy processors; after this time a member has failed.
+ * lifetime (`certificate-ms`). Members answer late on busy processors; after this time a member is assumed
+ * to have failed.
  */
 const RENEWAL_WAIT_MS = 1_500;
 
--- a/packages/gateway/src/keys/key-ownership.ts
+++ b/packages/gateway/src/keys/key-ownership.ts
@@ -200,7 +200,8 @@
     }
   }
 
-  // A merge is as complete as its least complete part; see `#knownSinceWithoutHandover` for a missing part.
+  // A merge is as complete as its least complete part;
+  // a missing part counts as complete since `#knownSinceWithoutHandover()`.
   #mergeHandovers(epoch: number): Completeness {
     const handovers = this.#handovers.get(epoch);
     const parts = (this.#previous?.instances ?? []).map(instance =>
