--- a/packages/gateway/src/limits/admission.ts
+++ b/packages/gateway/src/limits/admission.ts
@@ -184,8 +184,8 @@
     return this.#options.capacity(model) <= 0 && this.#options.returnLeftMs(model) <= 0;
   }
 
-  // Requests that could be served when they arrived may have lost their chance since. They are refused
-  // early, so that their callers don't wait until the deadline.
+  // Requests that could be served when they arrived may no longer be servable in time. They are
+  // refused now, so that their callers don't learn it only at the deadline.
   #refuseNotServable(model: string, state: ModelState): void {
     if (state.queue.size === 0) {
       return;
@@ -195,7 +195,7 @@
     this.#waitingByRank(state, model).forEach((waiting, ahead) => {
       const expectedMs = state.drain.expectedMs(ahead, now);
       if (hasNoGroups) {
-        const detail = `no group of model ${model} is ready any longer`;
+        const detail = `no group of model ${model} is ready any more`;
         waiting.refuse(this.#refusal(state, 'no-ready-group', detail));
       } else if (now + expectedMs + state.drain.serviceMs > waiting.request.deadline) {
         const detail = `expected wait of ${Math.round(expectedMs)} ms is past the deadline`;
@@ -275,10 +275,10 @@
     let newest: QueuedRequest | undefined;
     let highestRatio = -Infinity;
     for (const waiting of state.queue) {
-      const ratios = this.#shareRatio(state, waiting.request.workspace, model);
-      if (ratios >= highestRatio) {
+      const ratio = this.#shareRatio(state, waiting.request.workspace, model);
+      if (ratio >= highestRatio) {
         newest = waiting;
-        highestRatio = ratios;
+        highestRatio = ratio;
       }
     }
     return newest;
--- a/packages/gateway/src/requests/completion-run.ts
+++ b/packages/gateway/src/requests/completion-run.ts
@@ -71,7 +71,7 @@
   readonly #services: RunServices;
   readonly #admitted: AdmittedRequest;
   readonly #sink: AnswerSink;
-  readonly #tried = new Set<GroupId>();
+  readonly #failedGroups = new Set<GroupId>();
   #tokens = 0;
   #startedAt = 0;
   #sentAt = 0;
@@ -102,7 +102,7 @@
       }
       // After a held-back attempt nothing was sent, so the group stays eligible once its certificate is renewed.
       if (end.kind !== 'held-back') {
-        this.#tried.add(target.group.id);
+        this.#failedGroups.add(target.group.id);
       }
       problem = this.#problemOf(end);
       if (!this.#mayRetry(end)) {
@@ -147,7 +147,7 @@
       adapter,
       prompt,
       workspace,
-      exclude: new Set([...this.#tried, ...exclude]),
+      exclude: new Set([...this.#failedGroups, ...exclude]),
     });
   }
 
--- a/packages/gateway/src/requests/engine-client.ts
+++ b/packages/gateway/src/requests/engine-client.ts
@@ -63,6 +63,7 @@
 const CONNECT_TIMEOUT_MS = 1_000;
 /** Longest wait for the status and headers of an answer. */
 const HEADERS_TIMEOUT_MS = 600_000;
+/** Time limit of a request that cancels a stream. */
 const CANCEL_TIMEOUT_MS = 2_000;
 /** A refusal text is cut to this length. */
 const MAX_REFUSAL_CHARACTERS = 1_000;
@@ -109,14 +110,14 @@
     const url = `${streamUrl(attempt)}?offset=${offset}`;
     this.#log.message('engine', 'GET /v1/streams', { group: attempt.target.group.id });
     const call: ExchangeRequest = { url, method: 'GET', headers: {}, body: undefined };
-    const reading = new StreamReading(attempt, sink);
-    const end = reading.judge(await exchange(this.#agentOf(attempt), call, reading, signal));
+    const reader = new StreamReader(attempt, sink);
+    const end = reader.attemptEnd(await exchange(this.#agentOf(attempt), call, reader, signal));
     if (end.kind !== 'not-run') {
       return end;
     }
     // A resume starts no generation, and the request itself may still be unread in the engine's socket. Only
     // a refusal proves that the engine does not know the stream.
-    return { kind: reading.refused ? 'forgotten' : 'lost', detail: end.detail };
+    return { kind: reader.refused ? 'forgotten' : 'lost', detail: end.detail };
   }
 
   /** Asks the engine to cancel the stream; does not wait and ignores failures. */
@@ -140,8 +141,8 @@
     sink: AttemptSink,
     signal: AbortSignal,
   ): Promise<AttemptEnd> {
-    const reading = new StreamReading(attempt, sink);
-    return reading.judge(await exchange(this.#agentOf(attempt), call, reading, signal));
+    const reader = new StreamReader(attempt, sink);
+    return reader.attemptEnd(await exchange(this.#agentOf(attempt), call, reader, signal));
   }
 
   #agentOf(attempt: Attempt): Agent {
@@ -171,7 +172,7 @@
 }
 
 /** Reads one answer of an engine and checks that it belongs to the attempt. */
-class StreamReading implements ExchangeObserver {
+class StreamReader implements ExchangeObserver {
   readonly mayStart: () => boolean;
   readonly #attempt: Attempt;
   readonly #sink: AttemptSink;
@@ -223,7 +224,7 @@
   }
 
   /** Determines how the attempt ended from how its exchange ended. */
-  judge(end: ExchangeEnd): AttemptEnd {
+  attemptEnd(end: ExchangeEnd): AttemptEnd {
     if (this.#mismatch !== undefined) {
       return { kind: 'mismatch', detail: this.#mismatch };
     }
--- a/packages/gateway/src/requests/service-client.ts
+++ b/packages/gateway/src/requests/service-client.ts
@@ -52,10 +52,10 @@
     this.#log.message('service', `${call.method} service`);
     const { url, method, body, timeoutMs, freshConnection } = call;
     const agent = freshConnection ? this.#noReuseAgent : this.#agent;
-    const reading = new AnswerReading(call.requestId);
+    const reader = new AnswerReader(call.requestId);
     const signal = timeoutSignal(timeoutMs);
     const request = { url, method, headers: headersOf(call), body };
-    return reading.judge(await exchange(agent, request, reading, signal));
+    return reader.callEnd(await exchange(agent, request, reader, signal));
   }
 
   /** Closes all connections. */
@@ -73,7 +73,7 @@
 }
 
 /** Reads one answer. The HTTP library checks the announced length, so an answer that ends is complete. */
-class AnswerReading implements ExchangeObserver {
+class AnswerReader implements ExchangeObserver {
   readonly #requestId: string;
   readonly #parts: Buffer[] = [];
   #status = 0;
@@ -100,7 +100,7 @@
   }
 
   /** Determines how the call ended from how its exchange ended. */
-  judge(end: ExchangeEnd): ServiceEnd {
+  callEnd(end: ExchangeEnd): ServiceEnd {
     if (this.#status !== 0 && !this.#isOwnAnswer) {
       return { kind: 'mismatch', detail: 'the answer names another request' };
     }
