--- a/packages/gateway/src/limits/admission.ts
+++ b/packages/gateway/src/limits/admission.ts
@@ -335,7 +335,10 @@
     const running = (state.running.get(workspace) ?? 0) + this.#options.elsewhere(workspace, model);
     const queued = state.queued.get(workspace) ?? 0;
     const capacity = Math.max(1, this.#options.capacity(model));
-    const allowed = Math.max(this.#options.share(workspace, model) * capacity, MIN_ALLOWED);
+    const allowed = Math.max(
+      this.#options.share(workspace, model) * capacity,
+      MIN_ALLOWED_REQUESTS,
+    );
     return (running + queued * QUEUED_WEIGHT) / allowed;
   }
 
@@ -365,7 +368,7 @@
 /** Larger than any aged priority, so that shares take precedence over priorities. */
 const SHARE_RANK = 1e6;
 /** Lower bound of a workspace's allowed requests, so that a share of 0 does not divide by zero. */
-const MIN_ALLOWED = 1e-9;
+const MIN_ALLOWED_REQUESTS = 1e-9;
 
 function rankOf(shareRatio: number, agedPriority: number): number {
   return shareRatio < 1 ? SHARE_RANK + agedPriority : agedPriority - shareRatio * SHARE_RANK;
--- a/packages/gateway/src/requests/exchange.ts
+++ b/packages/gateway/src/requests/exchange.ts
@@ -28,7 +28,7 @@
 
 /** How an exchange ended. */
 export type ExchangeEnd =
-  /** No byte of the request was sent, because there was no connection. */
+  /** No byte of the request was sent, for example because there was no connection. */
   | { readonly kind: 'never-sent'; readonly detail: string }
   /** No byte was sent: once connected, the request was aborted or was no longer allowed to be sent. */
   | { readonly kind: 'held-back'; readonly detail: string }
--- a/packages/gateway/src/requests/request-life.ts
+++ b/packages/gateway/src/requests/request-life.ts
@@ -47,10 +47,10 @@
 
   /**
    * Returns the request to the queue after an attempt was refused before it ran, or a repeatable one failed.
-   * `ran` is true if the attempt may have run.
+   * `mayHaveRun` is true if the attempt may have run.
    */
-  requeue(ran: boolean): void {
-    this.#maybeRan ||= ran;
+  requeue(mayHaveRun: boolean): void {
+    this.#maybeRan ||= mayHaveRun;
     this.to('queued');
   }
 
