--- a/packages/bench/src/groups/decision.test.ts
+++ b/packages/bench/src/groups/decision.test.ts
@@ -1,6 +1,6 @@
 /** The group decision on small fakes: legality, convergence, crashes, and golden sessions. */
-import type { DecisionInput, Group, LedgerOrder } from '@hingescale/core';
-import { applyOrders, decide, emptyLedger, reconcile } from '@hingescale/core';
+import type { DecisionInput, Group, LedgerChange } from '@hingescale/core';
+import { applyChanges, decide, emptyLedger, reconcile } from '@hingescale/core';
 import { expectGolden } from '@hingescale/proofs';
 import { expect } from 'chai';
 import fc from 'fast-check';
@@ -63,7 +63,7 @@
     it(`${name}: golden session of a day`, () => {
       const fleet = shortened(name, 3);
       const lines: string[] = [];
-      const onOrder = (order: LedgerOrder, at: number): void => {
+      const onOrder = (order: LedgerChange, at: number): void => {
         lines.push(describeOrder(order, at));
       };
       new Fleet(fleet, decide, { onOrder }).run(makeTrace(fleet.hosts, fleet.days, 11));
@@ -108,7 +108,7 @@
   }
 }
 
-function expectInFabric(fleet: Scenario, order: LedgerOrder): void {
+function expectInFabric(fleet: Scenario, order: LedgerChange): void {
   if (order.kind !== 'form') {
     return;
   }
@@ -120,7 +120,7 @@
   }
 }
 
-function describeOrder(order: LedgerOrder, at: number): string {
+function describeOrder(order: LedgerChange, at: number): string {
   const what = order.kind === 'move' ? `move to ${order.state}` : order.kind;
   return `${at.toFixed(1).padStart(9)} ${order.group || order.fabricDomain}: ${what}: ${order.reason}`;
 }
@@ -132,7 +132,7 @@
   const empty = emptyLedger(first.fabricDomain, first.failureDomain);
   const base = { fabricDomain: first.fabricDomain, group: 'g', reason: '', alternatives: [] };
   const content = { model: 'lm-pool', version: '1', adapters: [] };
-  const ledger = applyOrders(empty, [
+  const ledger = applyChanges(empty, [
     { ...base, kind: 'form', content, members },
     { ...base, kind: 'move', state: 'ready' },
   ]);
@@ -152,8 +152,8 @@
     ledgers: [ledger],
     ages: new Map(),
     times: { certificateMs: 1_500, drainMs: 1_000 },
-    remote: [],
-    absent: [],
+    remoteGroups: [],
+    absentDomains: [],
   };
   return { input, group: ledger.groups[0] };
 }
--- a/packages/bench/src/groups/fleet.ts
+++ b/packages/bench/src/groups/fleet.ts
@@ -2,18 +2,18 @@
 import type {
   DecisionInput,
   Group,
-  HostFact,
+  HostSnapshot,
   HostStateReport,
   Ledger,
-  LedgerOrder,
+  LedgerChange,
 } from '@hingescale/core';
 import {
-  ageKey,
-  applyOrder,
+  applyChange,
   assertLegal,
   emptyLedger,
-  loadingNow,
+  groupsAllowedToLoad,
   reconcile,
+  stateAgeKey,
 } from '@hingescale/core';
 
 import type { FakeHost, FleetResult } from './fleet-meter.js';
@@ -22,14 +22,14 @@
 import type { TraceEvent } from './trace.js';
 
 /** A decision under test. */
-export type Decide = (input: DecisionInput) => LedgerOrder[];
+export type Decide = (input: DecisionInput) => LedgerChange[];
 
 /** Options of a fleet. */
 export type FleetOptions = {
   /** Asked after each ledger write; true kills the controller before it sends its orders. */
   readonly crashes?: () => boolean;
   /** Gets every order with the time in seconds since the trace began. */
-  readonly onOrder?: (order: LedgerOrder, at: number) => void;
+  readonly onOrder?: (order: LedgerChange, at: number) => void;
 };
 
 const TIMES = { certificateMs: 1_500, drainMs: 120_000 };
@@ -109,7 +109,7 @@
   }
 
   /** Orders that a quiet fleet still gets; there should be none. */
-  ordersWhenQuiet(): LedgerOrder[] {
+  ordersWhenQuiet(): LedgerChange[] {
     return this.#scenario.failureDomains.flatMap(domain => {
       const input = this.#input(domain);
       return [...input.ledgers.flatMap(l => reconcile(input, l)), ...this.#decide(input)];
@@ -231,16 +231,16 @@
     }
   }
 
-  #timedDecision(input: DecisionInput): LedgerOrder[] {
+  #timedDecision(input: DecisionInput): LedgerChange[] {
     const startedAt = performance.now();
     const orders = this.#decide(input);
     this.#decisionMs.push(performance.now() - startedAt);
     return orders;
   }
 
-  #apply(order: LedgerOrder): void {
+  #apply(order: LedgerChange): void {
     const ledger = this.#ledgers.get(order.fabricDomain) as Ledger;
-    const next = applyOrder(ledger, order);
+    const next = applyChange(ledger, order);
     assertLegal(next);
     this.#ledgers.set(order.fabricDomain, next);
     if (this.#measuring) {
@@ -252,7 +252,7 @@
   }
 
   #sendOrders(input: DecisionInput): void {
-    const loading = loadingNow(input, PARALLEL_HOSTS);
+    const loading = groupsAllowedToLoad(input, PARALLEL_HOSTS);
     for (const ledger of input.ledgers) {
       for (const group of ledger.groups) {
         for (const member of group.members) {
@@ -310,8 +310,8 @@
       ledgers,
       ages: this.#ages(ledgers),
       times: TIMES,
-      remote: [],
-      absent: absent.filter(domain => domain !== failureDomain),
+      remoteGroups: [],
+      absentDomains: absent.filter(domain => domain !== failureDomain),
     };
   }
 
@@ -324,8 +324,8 @@
     return this.#now - (this.#lastHeard.get(domain) ?? this.#now) > 60;
   }
 
-  #facts(failureDomain: string): Map<string, HostFact> {
-    const facts = new Map<string, HostFact>();
+  #facts(failureDomain: string): Map<string, HostSnapshot> {
+    const facts = new Map<string, HostSnapshot>();
     for (const [id, host] of this.#hosts) {
       if (host.host.failureDomain === failureDomain) {
         const quiet = host.alive ? 0 : this.#now - host.silentSince;
@@ -344,7 +344,7 @@
   #ages(ledgers: readonly Ledger[]): Map<string, number> {
     const ages = new Map<string, number>();
     for (const group of ledgers.flatMap(ledger => ledger.groups)) {
-      const key = ageKey(group);
+      const key = stateAgeKey(group);
       const since = this.#since.get(key) ?? this.#now;
       this.#since.set(key, since);
       ages.set(key, (this.#now - since) * 1000);
--- a/packages/bench/src/groups/naive.ts
+++ b/packages/bench/src/groups/naive.ts
@@ -2,11 +2,11 @@
  * The naive decision: a broken group is rebuilt at once from the first free hosts, first fit. It
  * is obviously right and serves as the baseline of the benchmark and of differential tests.
  */
-import type { DecisionInput, LedgerOrder } from '@hingescale/core';
+import type { DecisionInput, LedgerChange } from '@hingescale/core';
 import { isDrained, isLeaving, Plan, wantedReplicas } from '@hingescale/core';
 
 /** Decides without weighing anything. */
-export function decideNaively(input: DecisionInput): LedgerOrder[] {
+export function decideNaively(input: DecisionInput): LedgerChange[] {
   const plan = new Plan(input);
   for (const { ledger, group } of plan.groups()) {
     const leaving = group.members.some(member => {
@@ -14,7 +14,7 @@
       return fact !== undefined && isLeaving(ledger, fact);
     });
     const move = (state: 'draining' | 'fencing', reason: string): void => {
-      plan.add(ledger.fabricDomain, group.id, reason, { kind: 'move', state });
+      plan.addChange(ledger.fabricDomain, group.id, reason, { kind: 'move', state });
     };
     if (group.state === 'suspended') {
       move('fencing', 'broken');
@@ -29,8 +29,8 @@
   for (const [name, model] of input.configuration.models) {
     const wanted = wantedReplicas(input, model);
     for (const ledger of plan.ledgers()) {
-      while (plan.held(name) < wanted) {
-        const free = plan.free(ledger.fabricDomain, model.upstream);
+      while (plan.countReplicas(name) < wanted) {
+        const free = plan.freeHosts(ledger.fabricDomain, model.upstream);
         if (free.length < model.hosts) {
           break;
         }
@@ -41,9 +41,9 @@
         const content = { model: name, version: model.version, adapters: model.adapters };
         const epoch = plan.ledger(ledger.fabricDomain).lastEpoch + 1;
         const group = `${name}-${ledger.fabricDomain}-${epoch}`;
-        plan.add(ledger.fabricDomain, group, 'missing', { kind: 'form', content, members });
+        plan.addChange(ledger.fabricDomain, group, 'missing', { kind: 'form', content, members });
       }
     }
   }
-  return plan.orders;
+  return plan.changes;
 }
--- a/packages/bench/src/groups/operator-drain.test.ts
+++ b/packages/bench/src/groups/operator-drain.test.ts
@@ -1,6 +1,6 @@
 /** Guards against a drain of the only group that serves, by which callers are refused until another one has loaded. */
-import type { DecisionInput, HostFact, HostStateReport } from '@hingescale/core';
-import { ageKey, applyOrders, decide, emptyLedger, setCordon } from '@hingescale/core';
+import type { DecisionInput, HostSnapshot, HostStateReport } from '@hingescale/core';
+import { applyChanges, decide, emptyLedger, setCordon, stateAgeKey } from '@hingescale/core';
 import { expect } from 'chai';
 
 import { scenario } from './scenario.js';
@@ -28,14 +28,14 @@
     }) as const;
   const ready = (group: string) =>
     ({ ...BASE, fabricDomain, group, kind: 'move', state: 'ready' }) as const;
-  const ledger = applyOrders(emptyLedger(fabricDomain, failureDomain), [
+  const ledger = applyChanges(emptyLedger(fabricDomain, failureDomain), [
     form('a', 0),
     ready('a'),
     ...(other === undefined ? [] : [form('b', GROUP_SIZE)]),
     ...(other === 'ready' ? [ready('b')] : []),
   ]);
   const isOperator = by === 'operator';
-  const facts = present.map((host, index): [string, HostFact] => {
+  const facts = present.map((host, index): [string, HostSnapshot] => {
     const group = ledger.groups.find(({ members }) => members.includes(host.id));
     const state = index === 0 && !isOperator ? ('leaving' as const) : host.state;
     const report = { host: host.id, incarnation: 'i', group: group?.id ?? null, epoch: 1 };
@@ -60,10 +60,10 @@
     configuration: { ...declared, models: new Map(only) },
     hosts: new Map(facts),
     ledgers: [cordoned],
-    ages: new Map(ledger.groups.map(group => [ageKey(group), 1_000])),
+    ages: new Map(ledger.groups.map(group => [stateAgeKey(group), 1_000])),
     times: { certificateMs: 1_500, drainMs: 60_000 },
-    remote: [],
-    absent: [],
+    remoteGroups: [],
+    absentDomains: [],
   };
 }
 
--- a/packages/bench/src/groups/silent-hosts.test.ts
+++ b/packages/bench/src/groups/silent-hosts.test.ts
@@ -1,6 +1,12 @@
 /** Guards against orders about groups whose members were not heard for a moment: a sound group was dissolved that way. */
-import type { DecisionInput, Group, GroupState, HostFact, HostStateReport } from '@hingescale/core';
-import { ageKey, applyOrders, decide, emptyLedger, reconcile } from '@hingescale/core';
+import type {
+  DecisionInput,
+  Group,
+  GroupState,
+  HostSnapshot,
+  HostStateReport,
+} from '@hingescale/core';
+import { applyChanges, decide, emptyLedger, reconcile, stateAgeKey } from '@hingescale/core';
 import { expect } from 'chai';
 
 import { scenario } from './scenario.js';
@@ -16,7 +22,7 @@
   .slice(0, 2 * GROUP_SIZE)
   .map(host => host.id);
 
-type Answering = Pick<HostFact, 'silentMs' | 'isMissing' | 'mayReturn'> & {
+type Answering = Pick<HostSnapshot, 'silentMs' | 'isMissing' | 'mayReturn'> & {
   readonly answerAgeMs?: number;
 };
 
@@ -32,7 +38,7 @@
   ageMs = LONG_MS,
 ): DecisionInput {
   const base = { fabricDomain, reason: '', alternatives: [] };
-  const ledger = applyOrders(
+  const ledger = applyChanges(
     emptyLedger(fabricDomain, failureDomain),
     ['a', 'b'].flatMap((group, index) => [
       {
@@ -46,7 +52,7 @@
       ...(state === 'ready' ? [] : [{ ...base, group, kind: 'move', state } as const]),
     ]),
   );
-  const facts = members.map((id, index): [string, HostFact] => {
+  const facts = members.map((id, index): [string, HostSnapshot] => {
     const host = hosts.find(candidate => candidate.id === id) as (typeof hosts)[number];
     const group = ledger.groups[Math.floor(index / GROUP_SIZE)];
     const report = reportOf(id, group);
@@ -57,10 +63,10 @@
     configuration,
     hosts: new Map(facts),
     ledgers: [ledger],
-    ages: new Map(ledger.groups.map(group => [ageKey(group), ageMs])),
+    ages: new Map(ledger.groups.map(group => [stateAgeKey(group), ageMs])),
     times: { certificateMs: 1_500, drainMs: 2 * LONG_MS },
-    remote: [],
-    absent: [],
+    remoteGroups: [],
+    absentDomains: [],
   };
 }
 
--- a/packages/controller/src/admin/app.ts
+++ b/packages/controller/src/admin/app.ts
@@ -27,14 +27,14 @@
   readonly ready: () => boolean;
   readonly status: () => ControllerStatus;
   /** Returns the orders that concern a group or host; undefined when the name is unknown. */
-  readonly explain: (name: string) => ExplainedOrder[] | undefined;
+  readonly ordersAbout: (name: string) => ExplainedOrder[] | undefined;
   /** Collects the burn report of the failure domain. */
-  readonly burn: () => Promise<BurnReport>;
+  readonly burnReport: () => Promise<BurnReport>;
   /** Cordons a host or removes its cordon. */
   readonly setCordon: (host: string, cordoned: boolean) => Promise<void>;
   readonly evacuations: EvacuationOptions;
   /** Hands an accepted configuration revision to the controller, which applies it. */
-  readonly offer: (revision: ConfigurationRevision) => void;
+  readonly offerConfiguration: (revision: ConfigurationRevision) => void;
 };
 
 const BODY_LIMIT = '4mb';
@@ -46,7 +46,7 @@
 });
 
 /** Creates the Express application that serves the administration API. */
-export function adminApp(options: AdminOptions): Express {
+export function createAdminApp(options: AdminOptions): Express {
   const app = createApp();
   addProbes(app, options);
   app.use('/v1', (request: Request, response: Response, next: NextFunction) => {
@@ -67,7 +67,7 @@
     response.json(explainOrders(options, request.params.name));
   });
   app.get('/v1/report/burn', async (_request, response) => {
-    response.json(await options.burn());
+    response.json(await options.burnReport());
   });
   app.put('/v1/hosts/:id/drain', async (request, response) => {
     await changeCordon(options, request.params.id, true, response);
@@ -141,7 +141,7 @@
     sendChangeError(accepted.error, response);
     return;
   }
-  options.offer(accepted.value);
+  options.offerConfiguration(accepted.value);
   const { revision } = accepted.value.head;
   options.log.info('configuration accepted', { revision, operator });
   await writeAuditRecord(options, operator, `configuration revision ${revision}`, revision);
@@ -176,7 +176,7 @@
 }
 
 function explainOrders(options: AdminOptions, name: string): object {
-  const orders = options.explain(name);
+  const orders = options.ordersAbout(name);
   if (orders === undefined) {
     const detail = `no group or host named ${name} is known to this controller`;
     throw new ProblemError({ status: 404, code: 'unknown-object', detail });
--- a/packages/controller/src/admin/burn-report.ts
+++ b/packages/controller/src/admin/burn-report.ts
@@ -27,7 +27,7 @@
 const DEFAULT_OBJECTIVE = 0.95;
 
 /** Requests the counts of all gateways and merges those that arrive within the timeout. */
-export async function collectBurn(
+export async function collectBurnReport(
   failureDomain: string,
   sources: readonly BurnSource[],
   links: LinkPool,
@@ -45,12 +45,12 @@
     gateways: answered.map(source => source.instance),
     silent: sources.filter(source => !answered.includes(source)).map(source => source.instance),
     series,
-    lines: mergeBurn(series, configuration),
+    lines: mergeBurnSeries(series, configuration),
   };
 }
 
 /** Merges the counts of all gateways into one line per workspace and model. */
-export function mergeBurn(
+export function mergeBurnSeries(
   series: readonly BurnSeries[],
   configuration: Configuration | undefined,
 ): BurnLine[] {
--- a/packages/controller/src/admin/evacuations.ts
+++ b/packages/controller/src/admin/evacuations.ts
@@ -12,7 +12,7 @@
   /** All evacuation orders, ended ones included; undefined until this controller has read them. */
   readonly orders: () => readonly Evacuation[] | undefined;
   /** Applies an order that this controller has written, so that gateways receive it with their next poll. */
-  readonly take: (order: StoredObject<Evacuation>) => Promise<void>;
+  readonly applyOrder: (order: StoredObject<Evacuation>) => Promise<void>;
 };
 
 const RETRY_AFTER_S = 1;
@@ -28,7 +28,7 @@
 
 /** Writes the order to evacuate a failure domain, or to end its evacuation; returns the order in force. */
 export async function orderEvacuation(
-  { client, failureDomains, take }: EvacuationOptions,
+  { client, failureDomains, applyOrder: take }: EvacuationOptions,
   failureDomain: FailureDomainId,
   evacuated: boolean,
   operator: string,
--- a/packages/controller/src/admin/status.ts
+++ b/packages/controller/src/admin/status.ts
@@ -17,7 +17,7 @@
 };
 
 /** Status of another controller, from its last answer to a poll. */
-export type PeerStatus = {
+export type OtherControllerStatus = {
   readonly address: string;
   readonly controller: string;
   /** Configuration revision that it had in force; 0 before its first answer. */
@@ -39,5 +39,5 @@
   readonly certificates: readonly Certificate[];
   readonly hosts: readonly HostStatus[];
   readonly gateways: readonly GatewayStatus[];
-  readonly controllers: readonly PeerStatus[];
+  readonly controllers: readonly OtherControllerStatus[];
 };
--- a/packages/controller/src/controller.ts
+++ b/packages/controller/src/controller.ts
@@ -25,21 +25,21 @@
 } from '@hingescale/runtime';
 import { HostClient, MemberProber } from '@hingescale/upstream';
 
-import { adminApp } from './admin/app.js';
+import { createAdminApp } from './admin/app.js';
 import type { BurnReport } from './admin/burn-report.js';
-import { collectBurn } from './admin/burn-report.js';
+import { collectBurnReport } from './admin/burn-report.js';
 import type { ControllerStatus } from './admin/status.js';
 import type { ControllerSettings } from './controller-settings.js';
 import { GroupTask } from './groups/group-task.js';
-import { HostMemory } from './groups/host-memory.js';
+import { HostTracker } from './groups/host-tracker.js';
 import type { ExplainedOrder } from './groups/order-history.js';
 import { LeaseTask } from './lease/lease-task.js';
 import { RestoreTask } from './restore/restore-task.js';
+import { ControllerPollTask } from './views/controller-poll-task.js';
 import { DomainTask } from './views/domain-task.js';
 import { GatewayRoster } from './views/gateway-roster.js';
 import { KeyOwnerTask } from './views/key-owner-task.js';
 import { LoadCollector } from './views/load-collector.js';
-import { PeerTask } from './views/peer-task.js';
 import { PollHandler } from './views/poll-handler.js';
 import { RemoteDomains } from './views/remote-domains.js';
 
@@ -63,7 +63,7 @@
   readonly #links: LinkPool;
   readonly #remotes = new RemoteDomains();
   readonly #roster: GatewayRoster;
-  readonly #peers: PeerTask;
+  readonly #peers: ControllerPollTask;
   readonly #loopWatch: EventLoopWatch;
   #address = '';
   #adminServer: HttpServer | undefined;
@@ -96,7 +96,7 @@
     const failureDomain = self['failure-domain'];
     const identity = { role: 'controller', name: self.name, failureDomain } as const;
     this.#links = new LinkPool({ key: links.key, identity, log: this.#log });
-    this.#peers = new PeerTask({
+    this.#peers = new ControllerPollTask({
       instance: this.#instance,
       failureDomain,
       ownAddress: () => this.#address,
@@ -104,8 +104,8 @@
       remoteControllers: links['remote-controllers'],
       periodMs: timing['heartbeat-ms'],
       links: this.#links,
-      holder: this.#configurationHolder,
-      remotes: this.#remotes,
+      configurationHolder: this.#configurationHolder,
+      remoteDomains: this.#remotes,
     });
   }
 
@@ -133,7 +133,7 @@
     });
     this.#address = await this.#linkServer.listen();
     // A new process adopts the highest revision that its peers or the store report before it reports ready.
-    await Promise.all([this.#peers.askAll(), this.#readPlatform()]);
+    await Promise.all([this.#peers.pollAll(), this.#readPlatform()]);
     await this.#startAdmin();
     this.#startLease();
     this.#startDomainTasks();
@@ -200,15 +200,15 @@
 
   async #startAdmin(): Promise<void> {
     const { admin } = this.#settings;
-    const app = adminApp({
+    const app = createAdminApp({
       operators: admin.operators,
       client: this.#client,
       log: this.#log,
       metrics: this.#metrics,
       ready: () => this.#configurationHolder.revision > 0,
       status: () => this.#status(),
-      explain: name => this.#ordersAbout(name),
-      burn: () => this.#burnReport(),
+      ordersAbout: name => this.#ordersAbout(name),
+      burnReport: () => this.#burnReport(),
       setCordon: (host, cordoned) => this.#setCordon(host, cordoned),
       evacuations: {
         client: this.#client,
@@ -218,9 +218,9 @@
           this.#evacuations.synced
             ? [...this.#evacuations.objects.values()].map(({ value }) => value)
             : undefined,
-        take: order => this.#evacuations.take([order]),
+        applyOrder: order => this.#evacuations.take([order]),
       },
-      offer: revision => void this.#configurationHolder.offer(revision),
+      offerConfiguration: revision => void this.#configurationHolder.offer(revision),
     });
     const tls = tlsFiles(admin['tls-certificate'], admin['tls-key']);
     this.#adminServer = await listenHttp(app, admin.listen, { ...DEFAULT_HTTP_LIMITS, tls });
@@ -231,14 +231,14 @@
     const lease = new LeaseTask({
       client: this.#client,
       failureDomain: self['failure-domain'],
-      holder: this.#instance,
+      instance: this.#instance,
       address: this.#address,
       adminAddress: `${this.#adminScheme()}://${this.adminAddress}`,
       durationMs: timing['lease-ms'],
       keyLeaseMs: timing['key-lease-ms'],
       log: this.#log,
       metrics: this.#metrics,
-      holderAnswers: known => this.#peers.activeSilence(known.address) < timing['lease-ms'] / 2,
+      holderAnswers: known => this.#peers.sinceLastActiveMs(known.address) < timing['lease-ms'] / 2,
     });
     lease.start();
     this.#lease = lease;
@@ -247,7 +247,7 @@
       roster: this.#roster,
       periodMs: timing['heartbeat-ms'],
       keyMemoryMs: timing['key-memory-ms'],
-      settleMs: timing['heartbeat-ms'] * MAX_MISSED_HEARTBEATS,
+      initialDelayMs: timing['heartbeat-ms'] * MAX_MISSED_HEARTBEATS,
     });
     this.#keyOwners.start();
   }
@@ -258,14 +258,14 @@
     const lease = this.#lease as LeaseTask;
     const domain = new DomainTask({
       failureDomain,
-      holder: this.#configurationHolder,
+      configurationHolder: this.#configurationHolder,
       hosts: this.#hosts,
       ledgers: this.#ledgers,
       prober: this.#prober,
       collector: this.#collector,
       // After its lease has expired a process stops deciding but continues to probe: readiness certificates depend only
       // on the answers of members.
-      vouches: () => lease.lease?.holder === this.#instance,
+      isLastKnownLeaseHolder: () => lease.lease?.holder === this.#instance,
     });
     domain.start();
     this.#domain = domain;
@@ -275,9 +275,9 @@
     this.#restore = new RestoreTask({
       client: this.#client,
       failureDomain,
-      holds: () => lease.holds(),
-      holder: this.#configurationHolder,
-      configuration: () => this.#configurationWatch,
+      holdsLease: () => lease.holds(),
+      configurationHolder: this.#configurationHolder,
+      configurationHeads: () => this.#configurationWatch,
       ledgers: this.#ledgers,
       evacuations: this.#evacuations,
       log: this.#log,
@@ -285,18 +285,18 @@
     });
     this.#restore.start();
     this.#pollHandler = new PollHandler({
-      name: self.name,
+      controllerName: self.name,
       failureDomain,
-      certificateMs: timing['certificate-ms'],
+      certificateLifetimeMs: timing['certificate-ms'],
       lease,
-      holder: this.#configurationHolder,
+      configurationHolder: this.#configurationHolder,
       prober: this.#prober,
       roster: this.#roster,
-      remotes: this.#remotes,
+      remoteDomains: this.#remotes,
       ownView: () => domain.view,
       evacuations: () =>
         this.#evacuations.synced ? versioned(this.#evacuations.objects.values()) : undefined,
-      loads: () => this.#collector.reports(),
+      loadReports: () => this.#collector.reports(),
       cacheEvents: from => this.#collector.cacheEvents(from),
     });
     this.#groups = new GroupTask({
@@ -306,7 +306,7 @@
       hosts: this.#hosts,
       ledgers: this.#ledgers,
       prober: this.#prober,
-      memory: new HostMemory({
+      hostTracker: new HostTracker({
         silentAfterMs: timing['certificate-ms'],
         resumedAt: () => this.#loopWatch.resumedAt(),
       }),
@@ -314,13 +314,13 @@
         certificateMs: timing['certificate-ms'],
         drainMs: timing['drain-ms'],
       },
-      remote: () => this.#remotes.groups(),
-      absent: () => this.#absentDomains(),
+      remoteGroups: () => this.#remotes.groups(),
+      absentDomains: () => this.#absentDomains(),
       periodMs: timing['heartbeat-ms'],
       orderRetryMs: orders['retry-ms'],
       parallelLoads: orders['parallel-loads'],
       configuration: () => this.#configurationHolder.configuration,
-      holds: () => lease.holds(),
+      holdsLease: () => lease.holds(),
       fence: () => lease.epoch,
       log: this.#log,
       metrics: this.#metrics,
@@ -342,7 +342,7 @@
     const { process: self } = this.#settings;
     const view = this.#domain?.view;
     const lease = this.#lease?.lease;
-    const input = this.#groups?.input();
+    const input = this.#groups?.decisionInput();
     const cordoned = new Set(input?.ledgers.flatMap(ledger => ledger.cordoned));
     const groups = input?.ledgers.flatMap(ledger => ledger.groups) ?? [];
     return {
@@ -369,12 +369,12 @@
   #burnReport(): Promise<BurnReport> {
     const failureDomain = this.#settings.process['failure-domain'];
     const { configuration } = this.#configurationHolder;
-    return collectBurn(failureDomain, this.#roster.status(), this.#links, configuration);
+    return collectBurnReport(failureDomain, this.#roster.status(), this.#links, configuration);
   }
 
   #ordersAbout(name: string): ExplainedOrder[] | undefined {
-    const input = this.#groups?.input();
-    const orders = this.#groups?.history.about(name) ?? [];
+    const input = this.#groups?.decisionInput();
+    const orders = this.#groups?.history.ordersAbout(name) ?? [];
     const isGroup = input?.ledgers.some(ledger => ledger.groups.some(group => group.id === name));
     const known = (input?.hosts.has(name) ?? false) || (isGroup ?? false);
     return known || orders.length > 0 ? orders : undefined;
--- a/packages/controller/src/groups/group-task.ts
+++ b/packages/controller/src/groups/group-task.ts
@@ -9,18 +9,18 @@
   FailureDomainId,
   HostId,
   Ledger,
-  LedgerOrder,
+  LedgerChange,
   RemoteGroup,
 } from '@hingescale/core';
 import {
-  ageKey,
-  applyOrder,
+  applyChange,
   decide,
   emptyLedger,
   LedgerError,
   ProblemError,
   reconcile,
   setCordon,
+  stateAgeKey,
 } from '@hingescale/core';
 import type {
   HostWatcher,
@@ -34,9 +34,9 @@
 import type { HostClient, MemberProber } from '@hingescale/upstream';
 import type { Result } from 'true-myth';
 
-import type { HostMemory } from './host-memory.js';
 import type { AddressedOrder } from './host-orders.js';
 import { dueOrders } from './host-orders.js';
+import type { HostTracker } from './host-tracker.js';
 import { OrderHistory } from './order-history.js';
 
 /** What the group task needs: the store, the hosts, the state of the lease, and settings. */
@@ -47,12 +47,12 @@
   readonly hosts: HostWatcher;
   readonly ledgers: ObjectWatcher<Ledger>;
   readonly prober: MemberProber;
-  readonly memory: HostMemory;
+  readonly hostTracker: HostTracker;
   readonly times: ContractTimes;
   /** Known replica groups of other failure domains. */
-  readonly remote: () => readonly RemoteGroup[];
+  readonly remoteGroups: () => readonly RemoteGroup[];
   /** Failure domains from which no report has arrived for the time in the setting `absent-ms`. */
-  readonly absent: () => readonly FailureDomainId[];
+  readonly absentDomains: () => readonly FailureDomainId[];
   /** Longest time between two decisions, in milliseconds; a change triggers one earlier. */
   readonly periodMs: number;
   /** Shortest time between two sends of the same order to a host, in milliseconds. */
@@ -61,7 +61,7 @@
   readonly parallelLoads: number;
   readonly configuration: () => Configuration | undefined;
   /** True while this process holds the lease. */
-  readonly holds: () => boolean;
+  readonly holdsLease: () => boolean;
   /** Epoch of the lease, which hosts use to reject orders of earlier lease holders. */
   readonly fence: () => number;
   readonly log: Log;
@@ -116,8 +116,8 @@
   }
 
   /** Returns the current input of the decision; undefined until configuration, hosts and ledgers have been read. */
-  input(): DecisionInput | undefined {
-    const { hosts, ledgers, prober, memory, failureDomain } = this.#options;
+  decisionInput(): DecisionInput | undefined {
+    const { hosts, ledgers, prober, hostTracker: memory, failureDomain } = this.#options;
     const configuration = this.#options.configuration();
     if (configuration === undefined || !hosts.synced || !ledgers.synced) {
       return undefined;
@@ -132,8 +132,8 @@
       ledgers: ownLedgers,
       ages: this.#stateAges(ownLedgers, now),
       times: this.#options.times,
-      remote: this.#options.remote(),
-      absent: this.#options.absent(),
+      remoteGroups: this.#options.remoteGroups(),
+      absentDomains: this.#options.absentDomains(),
     };
   }
 
@@ -178,11 +178,11 @@
   }
 
   async #runCycle(): Promise<void> {
-    const { holds, fence, metrics, parallelLoads } = this.#options;
+    const { holdsLease: holds, fence, metrics, parallelLoads } = this.#options;
     if (!this.#beginCycle(holds())) {
       return;
     }
-    const input = this.input();
+    const input = this.decisionInput();
     if (input === undefined) {
       return;
     }
@@ -199,7 +199,7 @@
   // A candidate does not probe, so silence recorded before it acquired the lease must not count.
   #beginCycle(holds: boolean): boolean {
     if (holds && !this.#heldLease) {
-      this.#options.memory.forget();
+      this.#options.hostTracker.reset();
     }
     this.#heldLease = holds;
     return holds;
@@ -208,7 +208,7 @@
   #stateAges(ledgers: readonly Ledger[], now: number): Map<string, number> {
     const ages = new Map<string, number>();
     for (const group of ledgers.flatMap(ledger => ledger.groups)) {
-      const key = ageKey(group);
+      const key = stateAgeKey(group);
       const since = this.#stateSince.get(key) ?? now;
       this.#stateSince.set(key, since);
       ages.set(key, now - since);
@@ -236,16 +236,16 @@
     }
   }
 
-  async #writeLedgers(orders: readonly LedgerOrder[]): Promise<void> {
+  async #writeLedgers(orders: readonly LedgerChange[]): Promise<void> {
     for (const stored of this.ownLedgers()) {
       const own = orders.filter(order => order.fabricDomain === stored.value.fabricDomain);
-      if (own.length > 0 && this.#options.holds()) {
+      if (own.length > 0 && this.#options.holdsLease()) {
         await this.#writeLedger(stored, own);
       }
     }
   }
 
-  async #writeLedger(stored: StoredObject<Ledger>, orders: readonly LedgerOrder[]): Promise<void> {
+  async #writeLedger(stored: StoredObject<Ledger>, orders: readonly LedgerChange[]): Promise<void> {
     const { client, ledgers, metrics } = this.#options;
     const applied = this.#applyOrders(stored.value, orders);
     if (applied.orders.length === 0) {
@@ -275,13 +275,13 @@
 
   #applyOrders(
     ledger: Ledger,
-    orders: readonly LedgerOrder[],
-  ): { ledger: Ledger; orders: LedgerOrder[] } {
-    const applied: LedgerOrder[] = [];
+    orders: readonly LedgerChange[],
+  ): { ledger: Ledger; orders: LedgerChange[] } {
+    const applied: LedgerChange[] = [];
     let next = ledger;
     for (const order of orders) {
       try {
-        next = applyOrder(next, order);
+        next = applyChange(next, order);
         applied.push(order);
       } catch (error) {
         if (!(error instanceof LedgerError)) {
@@ -295,7 +295,7 @@
     return { ledger: next, orders: applied };
   }
 
-  #recordOrders(orders: readonly LedgerOrder[]): void {
+  #recordOrders(orders: readonly LedgerChange[]): void {
     const { log, metrics } = this.#options;
     for (const order of orders) {
       const detail = order.kind === 'move' ? `move to ${order.state}` : order.kind;
@@ -317,7 +317,7 @@
     }
     for (const addressed of orders) {
       const key = `${addressed.host}/${addressed.order.operation}`;
-      if (!this.#orderSentAt.has(key) && this.#options.holds()) {
+      if (!this.#orderSentAt.has(key) && this.#options.holdsLease()) {
         this.#orderSentAt.set(key, now);
         void this.#sendOrder(addressed);
       }
--- a/packages/controller/src/groups/host-orders.ts
+++ b/packages/controller/src/groups/host-orders.ts
@@ -7,7 +7,7 @@
   HostOrder,
   Ledger,
 } from '@hingescale/core';
-import { answers, loadingNow } from '@hingescale/core';
+import { groupsAllowedToLoad, isAnswering } from '@hingescale/core';
 
 /** An order and the host that it is sent to. */
 export type AddressedOrder = {
@@ -27,7 +27,7 @@
   fence: number,
   parallelLoads: number,
 ): AddressedOrder[] {
-  const loading = loadingNow(input, parallelLoads);
+  const loading = groupsAllowedToLoad(input, parallelLoads);
   return input.ledgers.flatMap(ledger => [
     ...ledger.groups
       .filter(group => group.state !== 'loading' || loading.has(group.id))
@@ -55,7 +55,7 @@
   fence: number,
 ): AddressedOrder[] {
   const fact = input.hosts.get(host);
-  if (!answers(fact)) {
+  if (!isAnswering(fact)) {
     return [];
   }
   if (fact.report?.group === group.id && fact.report.epoch === group.epoch) {
@@ -102,7 +102,7 @@
   fence: number,
 ): AddressedOrder[] {
   const fact = input.hosts.get(host);
-  if (!answers(fact) || fact.report?.group === null) {
+  if (!isAnswering(fact) || fact.report?.group === null) {
     return [];
   }
   const order: HostOrder = {
--- a/packages/controller/src/groups/host-memory.test.ts
+++ b/packages/controller/src/groups/host-tracker.test.ts
@@ -1,9 +1,9 @@
 /** Guards against reporting all hosts as lost when the observer was suspended or the whole network was silent. */
-import type { Host, HostFact, HostStateReport } from '@hingescale/core';
+import type { Host, HostSnapshot, HostStateReport } from '@hingescale/core';
 import type { HostObservation } from '@hingescale/upstream';
 import { expect } from 'chai';
 
-import { HostMemory } from './host-memory.js';
+import { HostTracker } from './host-tracker.js';
 
 const SILENT_AFTER_MS = 1_500;
 const PROBE_MS = 250;
@@ -24,13 +24,13 @@
 describe('detection of missing hosts from their silence', () => {
   let now: number;
   let resumedAt: number;
-  let memory: HostMemory;
+  let memory: HostTracker;
   let observations: Map<string, HostObservation>;
 
   beforeEach(() => {
     now = 0;
     resumedAt = -Infinity;
-    memory = new HostMemory({ silentAfterMs: SILENT_AFTER_MS, resumedAt: () => resumedAt });
+    memory = new HostTracker({ silentAfterMs: SILENT_AFTER_MS, resumedAt: () => resumedAt });
     observations = new Map();
     advance(3_000);
   });
@@ -41,13 +41,13 @@
     }
   }
 
-  function facts(): HostFact[] {
+  function facts(): HostSnapshot[] {
     return [...memory.facts(HOSTS, observations, now).values()];
   }
 
   /** Advances the time while some hosts answer each probe; returns all facts of that time. */
-  function advance(ms: number, answering: readonly Host[] = HOSTS): HostFact[] {
-    const observed: HostFact[] = [];
+  function advance(ms: number, answering: readonly Host[] = HOSTS): HostSnapshot[] {
+    const observed: HostSnapshot[] = [];
     for (const until = now + ms; now < until; now += PROBE_MS) {
       answer(answering);
       observed.push(...facts());
@@ -55,7 +55,7 @@
     return observed;
   }
 
-  function missingIds(observed: readonly HostFact[]): string[] {
+  function missingIds(observed: readonly HostSnapshot[]): string[] {
     return observed.filter(fact => fact.isMissing).map(fact => fact.host.id);
   }
 
--- a/packages/controller/src/groups/host-memory.ts
+++ b/packages/controller/src/groups/host-tracker.ts
@@ -1,15 +1,15 @@
 /** Tracks how long each host has been silent and how often it was lost, from one decision to the next. */
-import type { FabricDomainId, Host, HostFact, HostId } from '@hingescale/core';
-import { LapsedDomains } from '@hingescale/core';
+import type { FabricDomainId, Host, HostId, HostSnapshot } from '@hingescale/core';
+import { MassLossDetector } from '@hingescale/core';
 import type { HostObservation } from '@hingescale/upstream';
 
-import { ScopeSilence } from '../silence/scope-silence.js';
+import { SilenceTracker } from '../silence/silence-tracker.js';
 
 /** How long a loss of a host counts against it, in milliseconds. */
-export const LOSS_MEMORY_MS = 600_000;
+export const LOSS_WINDOW_MS = 600_000;
 
 /** Thresholds and clocks of the tracking. */
-export type HostMemoryOptions = {
+export type HostTrackerOptions = {
   /** Time without an answer after which a host counts as silent, in milliseconds. */
   readonly silentAfterMs: number;
   /** When this process last resumed after an interruption, in monotonic milliseconds; -Infinity if it never did. */
@@ -37,27 +37,27 @@
 };
 
 /** Turns the observations of the prober into the facts that the group decision works on. */
-export class HostMemory {
-  readonly #options: HostMemoryOptions;
+export class HostTracker {
+  readonly #options: HostTrackerOptions;
   readonly #records = new Map<HostId, HostRecord>();
   /** When each host was first listed; its silence is counted from then until it first answers. */
   readonly #firstSeenAt = new Map<HostId, number>();
-  readonly #fabricSilences = new Map<FabricDomainId, ScopeSilence>();
-  #overallSilence: ScopeSilence;
-  #lapsedDomains = new LapsedDomains();
+  readonly #fabricSilences = new Map<FabricDomainId, SilenceTracker>();
+  #overallSilence: SilenceTracker;
+  #lapsedDomains = new MassLossDetector();
 
-  constructor(options: HostMemoryOptions) {
+  constructor(options: HostTrackerOptions) {
     this.#options = options;
-    this.#overallSilence = new ScopeSilence(options.silentAfterMs);
+    this.#overallSilence = new SilenceTracker(options.silentAfterMs);
   }
 
   /** Discards all state, for an observer that begins to probe. */
-  forget(): void {
+  reset(): void {
     this.#records.clear();
     this.#firstSeenAt.clear();
     this.#fabricSilences.clear();
-    this.#overallSilence = new ScopeSilence(this.#options.silentAfterMs);
-    this.#lapsedDomains = new LapsedDomains();
+    this.#overallSilence = new SilenceTracker(this.#options.silentAfterMs);
+    this.#lapsedDomains = new MassLossDetector();
   }
 
   /** Returns the facts by host at the time `now`, in monotonic milliseconds, and records losses. */
@@ -65,9 +65,9 @@
     hosts: readonly Host[],
     observations: ReadonlyMap<HostId, HostObservation>,
     now: number,
-  ): Map<HostId, HostFact> {
+  ): Map<HostId, HostSnapshot> {
     this.#observeSilences(hosts, observations, now);
-    const inContactSince = Math.max(this.#options.resumedAt(), this.#overallSilence.heardAgainAt);
+    const inContactSince = Math.max(this.#options.resumedAt(), this.#overallSilence.recoveredAt);
     const isConclusive =
       !this.#overallSilence.isSilent(now) && now - inContactSince > this.#options.silentAfterMs;
     const silences = new Map(
@@ -83,7 +83,7 @@
       }),
       now,
     );
-    const facts = new Map<HostId, HostFact>();
+    const facts = new Map<HostId, HostSnapshot>();
     for (const host of hosts) {
       const { silentMs, isMissing, hadTimeToAnswer } = silences.get(host.id) as HostSilence;
       const report = observations.get(host.id)?.report;
@@ -134,7 +134,7 @@
     const sinceAnswerMs = now - (observation?.probeSentAt ?? firstSeen);
     const isSilent = sinceAnswerMs > silentAfterMs;
     const wasMissing = this.#records.get(host.id)?.missing ?? false;
-    const domainRecoveredAt = this.#fabricSilence(host.fabricDomain).heardAgainAt;
+    const domainRecoveredAt = this.#fabricSilence(host.fabricDomain).recoveredAt;
     return {
       silentMs: isSilent ? sinceAnswerMs : 0,
       // A missing host stays missing until it answers, even if the observer itself is interrupted meanwhile.
@@ -143,9 +143,9 @@
     };
   }
 
-  #fabricSilence(fabricDomain: FabricDomainId): ScopeSilence {
+  #fabricSilence(fabricDomain: FabricDomainId): SilenceTracker {
     const existing = this.#fabricSilences.get(fabricDomain);
-    const silence = existing ?? new ScopeSilence(this.#options.silentAfterMs);
+    const silence = existing ?? new SilenceTracker(this.#options.silentAfterMs);
     this.#fabricSilences.set(fabricDomain, silence);
     return silence;
   }
@@ -167,14 +167,14 @@
     }
     record.missing = missing;
     record.incarnation = incarnation ?? record.incarnation;
-    while (record.losses.length > 0 && record.losses[0] < now - LOSS_MEMORY_MS) {
+    while (record.losses.length > 0 && record.losses[0] < now - LOSS_WINDOW_MS) {
       record.losses.shift();
     }
     this.#records.set(id, record);
     return record.losses.length;
   }
 
-  #removeUnlisted(listed: ReadonlyMap<HostId, HostFact>): void {
+  #removeUnlisted(listed: ReadonlyMap<HostId, HostSnapshot>): void {
     for (const id of this.#records.keys()) {
       if (!listed.has(id)) {
         this.#records.delete(id);
--- a/packages/controller/src/groups/order-history.ts
+++ b/packages/controller/src/groups/order-history.ts
@@ -1,5 +1,5 @@
 /** Keeps the most recent orders with their reasons, for `hingescale explain`. */
-import type { LedgerOrder } from '@hingescale/core';
+import type { LedgerChange } from '@hingescale/core';
 
 /** An order in the form that the administration API shows to operators. */
 export type ExplainedOrder = {
@@ -10,7 +10,7 @@
   readonly fabricDomain: string;
   readonly hosts: readonly string[];
   readonly reason: string;
-  readonly alternatives: LedgerOrder['alternatives'];
+  readonly alternatives: LedgerChange['alternatives'];
 };
 
 /** Older orders are discarded. */
@@ -21,7 +21,7 @@
   readonly #orders: ExplainedOrder[] = [];
 
   /** Adds an order with the current time; the oldest one is discarded when the list is full. */
-  add(order: LedgerOrder): void {
+  add(order: LedgerChange): void {
     const kind = order.kind === 'move' ? `move to ${order.state}` : order.kind;
     const { group, fabricDomain, reason, alternatives } = order;
     const hosts = hostsOf(order);
@@ -41,12 +41,12 @@
   }
 
   /** Returns the orders that concern the group or host of this name. */
-  about(name: string): ExplainedOrder[] {
+  ordersAbout(name: string): ExplainedOrder[] {
     return this.#orders.filter(order => order.group === name || order.hosts.includes(name));
   }
 }
 
-function hostsOf(order: LedgerOrder): string[] {
+function hostsOf(order: LedgerChange): string[] {
   switch (order.kind) {
     case 'form':
       return [...order.members];
--- a/packages/controller/src/lease/lease-task.ts
+++ b/packages/controller/src/lease/lease-task.ts
@@ -4,7 +4,7 @@
   emptyKeyTable,
   eraOf,
   holderDeadline,
-  isOfItsEra,
+  isFromCurrentEra,
   mayTakeOver,
   nextEpoch,
 } from '@hingescale/core';
@@ -18,7 +18,7 @@
   readonly client: PlatformClient;
   readonly failureDomain: string;
   /** Name of this process instance, written as the holder of the lease. */
-  readonly holder: string;
+  readonly instance: string;
   /** `ip:port` of its link. */
   readonly address: string;
   /** URL of its administration API. */
@@ -106,7 +106,7 @@
    * most for the duration of one lease.
    */
   async awaitRenewal(): Promise<void> {
-    const { holder, durationMs } = this.#options;
+    const { instance: holder, durationMs } = this.#options;
     const until = monotonicMs() + durationMs;
     while (this.lease?.holder === holder && !this.holds() && monotonicMs() < until) {
       await sleep(RENEWAL_CHECK_MS, this.signal);
@@ -196,14 +196,22 @@
         firstSeenAt: now,
       };
     }
-    const isReleased = observed.value.holder === '' && isOfItsEra(observed.value, observed.version);
+    const isReleased =
+      observed.value.holder === '' && isFromCurrentEra(observed.value, observed.version);
     if (isReleased || mayTakeOver(this.#observation, now)) {
       await this.#acquire(observed);
     }
   }
 
   async #acquire(current: StoredObject<Lease> | undefined): Promise<void> {
-    const { client, holder, address, adminAddress, durationMs, keyLeaseMs } = this.#options;
+    const {
+      client,
+      instance: holder,
+      address,
+      adminAddress,
+      durationMs,
+      keyLeaseMs,
+    } = this.#options;
     const value: Lease = {
       failureDomain: this.#name,
       holder,
--- a/packages/controller/src/restore/restore-task.ts
+++ b/packages/controller/src/restore/restore-task.ts
@@ -13,10 +13,10 @@
   readonly client: PlatformClient;
   readonly failureDomain: string;
   /** True while this process holds the lease. */
-  readonly holds: () => boolean;
-  readonly holder: ConfigurationHolder;
+  readonly holdsLease: () => boolean;
+  readonly configurationHolder: ConfigurationHolder;
   /** The watch on the configuration head; undefined until it is started. */
-  readonly configuration: () => ObjectWatcher<ConfigurationHead> | undefined;
+  readonly configurationHeads: () => ObjectWatcher<ConfigurationHead> | undefined;
   readonly ledgers: ObjectWatcher<Ledger>;
   readonly evacuations: ObjectWatcher<Evacuation>;
   readonly log: Log;
@@ -39,7 +39,7 @@
   start(): void {
     this.run(async () => {
       while (!this.stopped) {
-        if (this.#options.holds()) {
+        if (this.#options.holdsLease()) {
           await this.#restore();
         }
         await sleep(CHECK_PERIOD_MS, this.signal);
@@ -48,7 +48,14 @@
   }
 
   async #restore(): Promise<void> {
-    const { client, failureDomain, holder, configuration, ledgers, evacuations } = this.#options;
+    const {
+      client,
+      failureDomain,
+      configurationHolder: holder,
+      configurationHeads: configuration,
+      ledgers,
+      evacuations,
+    } = this.#options;
     const isOwn = (value: Ledger | Evacuation): boolean => value.failureDomain === failureDomain;
     this.#reportRestored('ledger', await restoreLost(client, 'ledger', ledgers, isOwn));
     this.#reportRestored('evacuation', await restoreLost(client, 'evacuation', evacuations, isOwn));
--- a/packages/controller/src/silence/scope-silence.ts
+++ b/packages/controller/src/silence/silence-tracker.ts
@@ -6,7 +6,7 @@
  */
 
 /** Tracks the silence of one set. It reads no clock: callers pass the time, in monotonic milliseconds. */
-export class ScopeSilence {
+export class SilenceTracker {
   readonly #silentAfterMs: number;
   #newestAt = -Infinity;
   #recoveredAt = -Infinity;
@@ -17,7 +17,7 @@
   }
 
   /** When the last silence of the whole set ended; the first message ends one as well, -Infinity before it. */
-  get heardAgainAt(): number {
+  get recoveredAt(): number {
     return this.#recoveredAt;
   }
 
@@ -26,7 +26,7 @@
    * While the whole set is silent it lies silentAfterMs before the start of that silence; it stays there for
    * silentAfterMs after the silence has ended, so that the other members have time to report.
    */
-  countsSince(now: number): number {
+  lossCutoff(now: number): number {
     if (this.isSilent(now)) {
       return this.#newestAt - this.#silentAfterMs;
     }
--- a/packages/controller/src/views/peer-task.ts
+++ b/packages/controller/src/views/controller-poll-task.ts
@@ -10,7 +10,7 @@
 import type { RemoteDomains } from './remote-domains.js';
 
 /** Options of the task that polls the other controllers. */
-export type PeerTaskOptions = {
+export type ControllerPollTaskOptions = {
   readonly instance: string;
   readonly failureDomain: string;
   /** Link address of this controller, which is not polled. */
@@ -22,8 +22,8 @@
   /** Time between two polls of a controller, in milliseconds. */
   readonly periodMs: number;
   readonly links: LinkPool;
-  readonly holder: ConfigurationHolder;
-  readonly remotes: RemoteDomains;
+  readonly configurationHolder: ConfigurationHolder;
+  readonly remoteDomains: RemoteDomains;
 };
 
 /** Timeout of a poll, as a multiple of the poll period. */
@@ -40,11 +40,11 @@
 };
 
 /** Polls the other controllers and holds the last answer of each. */
-export class PeerTask extends Task<Record<never, never>> {
-  readonly #options: PeerTaskOptions;
+export class ControllerPollTask extends Task<Record<never, never>> {
+  readonly #options: ControllerPollTaskOptions;
   readonly #controllers = new Map<string, PolledController>();
 
-  constructor(options: PeerTaskOptions) {
+  constructor(options: ControllerPollTaskOptions) {
     super();
     this.#options = options;
   }
@@ -61,7 +61,7 @@
    * Milliseconds since the last answered poll to the controller at an address was sent; infinite when that answer did
    * not say that the controller is active, or when there is none.
    */
-  activeSilence(address: string): number {
+  sinceLastActiveMs(address: string): number {
     const polled = this.#controllers.get(address);
     return polled?.reply?.active === true ? monotonicMs() - polled.answeredPollSentAt : Infinity;
   }
@@ -82,7 +82,7 @@
   }
 
   /** Polls all controllers once, so that a process that has just started learns the highest configuration revision. */
-  async askAll(): Promise<void> {
+  async pollAll(): Promise<void> {
     const { localControllers, remoteControllers } = this.#options;
     await Promise.all(
       [...localControllers, ...remoteControllers].map(address => this.#poll(address)),
@@ -97,7 +97,14 @@
   }
 
   async #poll(address: string): Promise<void> {
-    const { links, failureDomain, remotes, holder, periodMs, ownAddress } = this.#options;
+    const {
+      links,
+      failureDomain,
+      remoteDomains: remotes,
+      configurationHolder: holder,
+      periodMs,
+      ownAddress,
+    } = this.#options;
     if (address === ownAddress()) {
       return;
     }
@@ -112,7 +119,7 @@
       polled.reply = reply;
       polled.answeredPollSentAt = sentAt;
       polled.sendConfiguration = reply.wantConfiguration;
-      remotes.take(reply, failureDomain, sentAt);
+      remotes.applyReply(reply, failureDomain, sentAt);
       if (reply.configuration !== undefined) {
         holder.offer(reply.configuration);
       }
@@ -131,7 +138,12 @@
   }
 
   #buildRequest(polled: PolledController): PollRequest {
-    const { instance, failureDomain, holder, remotes } = this.#options;
+    const {
+      instance,
+      failureDomain,
+      configurationHolder: holder,
+      remoteDomains: remotes,
+    } = this.#options;
     return {
       instance,
       address: '',
--- a/packages/controller/src/views/domain-task.ts
+++ b/packages/controller/src/views/domain-task.ts
@@ -10,13 +10,13 @@
 /** Options of the domain task. */
 export type DomainTaskOptions = {
   readonly failureDomain: string;
-  readonly holder: ConfigurationHolder;
+  readonly configurationHolder: ConfigurationHolder;
   readonly hosts: HostWatcher;
   readonly ledgers: ObjectWatcher<Ledger>;
   readonly prober: MemberProber;
   readonly collector: LoadCollector;
   /** True while this controller is the last known lease holder; a lapsed lease does not end it. */
-  readonly vouches: () => boolean;
+  readonly isLastKnownLeaseHolder: () => boolean;
 };
 
 /** Messages of the domain task: `changed` carries a view whose version differs from the previous one. */
@@ -34,12 +34,12 @@
 
   /** The latest view; undefined while this controller is not the last known lease holder. */
   get view(): DomainView | undefined {
-    return this.#options.vouches() ? this.#view : undefined;
+    return this.#options.isLastKnownLeaseHolder() ? this.#view : undefined;
   }
 
   /** Subscribes to changes of the configuration, the hosts and the ledgers. */
   start(): void {
-    const { holder, hosts, ledgers } = this.#options;
+    const { configurationHolder: holder, hosts, ledgers } = this.#options;
     const rebuild = (): void => {
       this.rebuild();
     };
@@ -53,7 +53,14 @@
    * configuration, the hosts and the ledgers have been read.
    */
   rebuild(): void {
-    const { failureDomain, holder, hosts, ledgers, prober, collector } = this.#options;
+    const {
+      failureDomain,
+      configurationHolder: holder,
+      hosts,
+      ledgers,
+      prober,
+      collector,
+    } = this.#options;
     const configuration = holder.configuration;
     if (configuration === undefined || !hosts.synced || !ledgers.synced) {
       return;
@@ -61,7 +68,7 @@
     const ownHosts = hosts.hosts.filter(host => host.failureDomain === failureDomain);
     const storedLedgers = [...ledgers.objects.values()].map(object => object.value);
     const view = buildView(failureDomain, configuration, ownHosts, storedLedgers);
-    const isProber = this.#options.vouches();
+    const isProber = this.#options.isLastKnownLeaseHolder();
     // The host list also contains hosts of plain services, which do not implement the protocol of model engines.
     const modelUpstreams = new Set([...configuration.models.values()].map(model => model.upstream));
     const targets = ownHosts
@@ -73,7 +80,7 @@
       group,
       address: members[0].address,
     }));
-    collector.retarget(isProber ? heads : []);
+    collector.setTargets(isProber ? heads : []);
     const changed = view.version !== this.#view?.version;
     this.#view = view;
     if (changed) {
--- a/packages/controller/src/views/gateway-roster.test.ts
+++ b/packages/controller/src/views/gateway-roster.test.ts
@@ -26,7 +26,7 @@
     const ownersOverTime: string[] = [];
     for (const until = now + ms; now < until; now += PERIOD_MS) {
       polling.forEach(instance => {
-        roster.take(poll(instance));
+        roster.recordPoll(poll(instance));
       });
       ownersOverTime.push(
         roster
@@ -57,7 +57,7 @@
   it('are not shown once they are silent, for example at a controller that they polled only at their start', () => {
     now += 10_000;
     expect(roster.status()).to.deep.equal([]);
-    expect(roster.usageWithout('')).to.deep.equal([]);
+    expect(roster.usageOfOthers('')).to.deep.equal([]);
   });
 
   it('do not become owners again when they were already silent before all fell silent', () => {
--- a/packages/controller/src/views/gateway-roster.ts
+++ b/packages/controller/src/views/gateway-roster.ts
@@ -3,7 +3,7 @@
 import type { PollRequest, WorkspaceUsage } from '@hingescale/link';
 import { monotonicMs } from '@hingescale/runtime';
 
-import { ScopeSilence } from '../silence/scope-silence.js';
+import { SilenceTracker } from '../silence/silence-tracker.js';
 
 /** The last poll of a gateway; `polledAt` is its arrival in monotonic milliseconds. */
 type GatewayEntry = {
@@ -40,17 +40,17 @@
 export class GatewayRoster {
   readonly #silentAfterMs: number;
   readonly #now: () => number;
-  readonly #scopeSilence: ScopeSilence;
+  readonly #scopeSilence: SilenceTracker;
   readonly #entries = new Map<string, GatewayEntry>();
 
   constructor({ silentAfterMs, now = monotonicMs }: GatewayRosterOptions) {
     this.#silentAfterMs = silentAfterMs;
     this.#now = now;
-    this.#scopeSilence = new ScopeSilence(silentAfterMs);
+    this.#scopeSilence = new SilenceTracker(silentAfterMs);
   }
 
   /** Records a poll of a gateway and deletes expired entries. */
-  take(poll: PollRequest): void {
+  recordPoll(poll: PollRequest): void {
     const { instance, address, failureDomain, revision, leaving, usage } = poll;
     const owner = { instance, address, failureDomain };
     const polledAt = this.#now();
@@ -63,7 +63,7 @@
   owners(): KeyOwner[] {
     // While all gateways are silent at once, the fault is probably at this controller or in the network, so that none
     // of them loses its keys until each has had the time to poll again.
-    const since = this.#scopeSilence.countsSince(this.#now());
+    const since = this.#scopeSilence.lossCutoff(this.#now());
     return [...this.#entries.values()]
       .filter(entry => entry.polledAt >= since)
       .filter(entry => !entry.leaving && entry.owner.address !== '')
@@ -72,7 +72,7 @@
   }
 
   /** Usage reported by all gateways but `instance`, summed per workspace and model. */
-  usageWithout(instance: string): WorkspaceUsage[] {
+  usageOfOthers(instance: string): WorkspaceUsage[] {
     const sums = new Map<string, WorkspaceUsage>();
     for (const entry of this.#recentEntries()) {
       for (const usage of entry.owner.instance === instance ? [] : entry.usage) {
--- a/packages/controller/src/views/key-owner-task.ts
+++ b/packages/controller/src/views/key-owner-task.ts
@@ -15,7 +15,7 @@
   /** Time for which idempotency keys are remembered, in milliseconds. */
   readonly keyMemoryMs: number;
   /** Time that gateways have for their first poll after a start or a change of lease holder, in milliseconds. */
-  readonly settleMs: number;
+  readonly initialDelayMs: number;
 };
 
 /** Changes the key owner table when gateways join or leave; acts only while this controller holds the lease. */
@@ -29,7 +29,7 @@
 
   /** Starts the periodic check of the owners. */
   start(): void {
-    const { lease, settleMs, periodMs } = this.#options;
+    const { lease, initialDelayMs: settleMs, periodMs } = this.#options;
     this.run(async () => {
       while (!this.stopped) {
         if (lease.holds()) {
--- a/packages/controller/src/views/load-collector.ts
+++ b/packages/controller/src/views/load-collector.ts
@@ -38,7 +38,7 @@
   }
 
   /** Replaces the heads to fetch from; drops the data of groups that are not among them. */
-  retarget(targets: readonly LoadTarget[]): void {
+  setTargets(targets: readonly LoadTarget[]): void {
     this.#targets = targets;
     const wanted = new Set(targets.map(target => target.group.id));
     for (const id of this.#loads.keys()) {
--- a/packages/controller/src/views/poll-handler.ts
+++ b/packages/controller/src/views/poll-handler.ts
@@ -19,20 +19,20 @@
 /** Options of the poll handler. */
 export type PollHandlerOptions = {
   /** Name of this controller. */
-  readonly name: string;
+  readonly controllerName: string;
   readonly failureDomain: string;
   /** Lifetime of a readiness certificate, in milliseconds. */
-  readonly certificateMs: number;
+  readonly certificateLifetimeMs: number;
   readonly lease: LeaseTask;
-  readonly holder: ConfigurationHolder;
+  readonly configurationHolder: ConfigurationHolder;
   readonly prober: MemberProber;
   readonly roster: GatewayRoster;
-  readonly remotes: RemoteDomains;
+  readonly remoteDomains: RemoteDomains;
   /** View of this failure domain; undefined while this controller is not the last known lease holder. */
   readonly ownView: () => DomainView | undefined;
   /** The evacuation orders; undefined until they have been read from the platform. */
   readonly evacuations: () => readonly VersionedEvacuation[] | undefined;
-  readonly loads: () => readonly LoadReport[];
+  readonly loadReports: () => readonly LoadReport[];
   /** Cache events of all groups from the given numbers on, by group. */
   readonly cacheEvents: (from: Readonly<Record<string, number>>) => readonly GroupCacheEvents[];
 };
@@ -47,14 +47,20 @@
 
   /** Answers one poll; also takes over a newer configuration that it carries, and records polls of gateways. */
   answer(poll: PollRequest): PollReply {
-    const { name, lease, holder, roster, ownView } = this.#options;
+    const {
+      controllerName: name,
+      lease,
+      configurationHolder: holder,
+      roster,
+      ownView,
+    } = this.#options;
     if (poll.configuration !== undefined) {
       holder.offer(poll.configuration);
     }
     const view = ownView();
     const fromGateway = poll.role === 'gateway';
     if (fromGateway) {
-      roster.take(poll);
+      roster.recordPoll(poll);
     }
     return {
       controller: name,
@@ -65,7 +71,7 @@
       configuration: poll.revision < holder.revision ? holder.current : undefined,
       wantConfiguration: poll.revision > holder.revision,
       evacuations: fromGateway ? this.#options.evacuations() : undefined,
-      usage: fromGateway ? roster.usageWithout(poll.instance) : [],
+      usage: fromGateway ? roster.usageOfOthers(poll.instance) : [],
       cacheEvents: fromGateway ? this.#options.cacheEvents(poll.cacheFrom) : [],
       ...this.#domainState(poll, view, fromGateway),
     };
@@ -73,7 +79,7 @@
 
   /** Readiness certificates that are valid now, for the groups in a view of this failure domain. */
   ownCertificates(view: DomainView): Certificate[] {
-    const { prober, certificateMs } = this.#options;
+    const { prober, certificateLifetimeMs: certificateMs } = this.#options;
     const answers = prober.answers();
     const now = monotonicMs();
     return view.groups.flatMap(({ group }) => {
@@ -91,7 +97,7 @@
     view: DomainView | undefined,
     withRemotes: boolean,
   ): Pick<PollReply, 'views' | 'certificates' | 'loads' | 'keys'> {
-    const { remotes, loads } = this.#options;
+    const { remoteDomains: remotes, loadReports: loads } = this.#options;
     const ownViews = view === undefined ? [] : [view];
     const views = withRemotes ? [...ownViews, ...remotes.views()] : ownViews;
     const certificates = view === undefined ? [] : this.ownCertificates(view);
--- a/packages/controller/src/views/remote-domains.ts
+++ b/packages/controller/src/views/remote-domains.ts
@@ -21,7 +21,7 @@
   readonly #remotes = new Map<FailureDomainId, RemoteDomain>();
 
   /** Stores what a reply says of other failure domains than `own`; its poll was sent at `sentAt` (monotonic ms). */
-  take(reply: PollReply, own: FailureDomainId, sentAt: number): void {
+  applyReply(reply: PollReply, own: FailureDomainId, sentAt: number): void {
     for (const view of reply.views) {
       if (view.failureDomain !== own) {
         this.#getOrAdd(view.failureDomain).view = view;
--- a/packages/core/src/configuration/head.ts
+++ b/packages/core/src/configuration/configuration-head.ts
@@ -20,7 +20,7 @@
 };
 
 /** Maximum number of earlier changes that a head lists. */
-export const KEPT_HISTORY = 100;
+export const MAX_HISTORY_ENTRIES = 100;
 
 /** An earlier change, as the head lists it. */
 export type HistoryEntry = Omit<ConfigurationHead, 'history'>;
--- a/packages/core/src/configuration/configuration.ts
+++ b/packages/core/src/configuration/configuration.ts
@@ -6,7 +6,7 @@
 import { sortFindings } from '../errors/finding.js';
 import { checkPolicy } from '../policies/program.js';
 import type { IniDocument } from './ini-document.js';
-import { checkSection, findingAt, parseIni, unknownName } from './ini-document.js';
+import { checkSection, findingAt, parseIni, unknownNameMessage } from './ini-document.js';
 import type { Configuration } from './objects.js';
 import {
   adapterSchema,
@@ -125,7 +125,7 @@
   const kind = KINDS.get(kindName);
   if (kind === undefined) {
     const kindNames = ['deployment', ...KINDS.keys()];
-    const message = unknownName('kind of object', kindName, kindNames);
+    const message = unknownNameMessage('kind of object', kindName, kindNames);
     state.findings.push(findingAt(document, section, undefined, message));
     return;
   }
@@ -156,7 +156,7 @@
   ) => {
     const names = [...known];
     if (!names.includes(name)) {
-      addFinding(state, owner, key, unknownName(kind, name, names));
+      addFinding(state, owner, key, unknownNameMessage(kind, name, names));
     }
   };
   const { models, adapters, services, upstreams } = configuration;
--- a/packages/core/src/configuration/ini-document.ts
+++ b/packages/core/src/configuration/ini-document.ts
@@ -93,7 +93,7 @@
   for (const issue of result.error.issues) {
     if (issue.code === 'unrecognized_keys') {
       for (const key of issue.keys) {
-        findings.push(findingAt(document, section, key, unknownName('key', key, knownKeys)));
+        findings.push(findingAt(document, section, key, unknownNameMessage('key', key, knownKeys)));
       }
     } else {
       const key = issue.path.length === 0 ? undefined : String(issue.path[0]);
@@ -120,7 +120,7 @@
 }
 
 /** Returns the message for an unknown name, which suggests the most similar known name if there is one. */
-export function unknownName(kind: string, name: string, known: readonly string[]): string {
+export function unknownNameMessage(kind: string, name: string, known: readonly string[]): string {
   const nearest = [...known].sort((a, b) => distance(a, name) - distance(b, name))[0];
   const isSimilar = nearest !== undefined && distance(nearest, name) <= MAX_SUGGESTION_DISTANCE;
   return isSimilar
--- a/packages/core/src/contracts/certificate.ts
+++ b/packages/core/src/contracts/certificate.ts
@@ -38,7 +38,7 @@
   let oldestProbeSentAt = Infinity;
   for (const member of group.members) {
     const answer = answers.get(member);
-    if (answer === undefined || !answersFor(group, answer)) {
+    if (answer === undefined || !hasLoadedPresentEpoch(group, answer)) {
       return undefined;
     }
     oldestProbeSentAt = Math.min(oldestProbeSentAt, answer.probeSentAt);
@@ -47,6 +47,6 @@
 }
 
 /** True when the member has loaded the group's present epoch. */
-export function answersFor(group: Group, answer: MemberAnswer): boolean {
+export function hasLoadedPresentEpoch(group: Group, answer: MemberAnswer): boolean {
   return answer.loaded && answer.group === group.id && answer.epoch === group.epoch;
 }
--- a/packages/core/src/contracts/lease.ts
+++ b/packages/core/src/contracts/lease.ts
@@ -7,7 +7,7 @@
  */
 import type { FailureDomainId } from '../hosts/host.js';
 import type { Revision } from '../store/revision.js';
-import { eraOf, revisionIn } from '../store/revision.js';
+import { eraOf, makeRevision } from '../store/revision.js';
 import type { KeyOwnerTable } from './idempotency-key.js';
 
 /** The lease object as stored in the platform's store. */
@@ -49,7 +49,7 @@
  * True when the lease was written in the era of its object's version. A lease from an earlier era comes from an older
  * copy of the store and does not show who holds the lease now.
  */
-export function isOfItsEra(lease: Pick<Lease, 'era'>, version: Revision): boolean {
+export function isFromCurrentEra(lease: Pick<Lease, 'era'>, version: Revision): boolean {
   return (lease.era ?? 0) === eraOf(version);
 }
 
@@ -58,7 +58,7 @@
  * the epoch, so the result exceeds all epochs that a restored store may have lost.
  */
 export function nextEpoch(shown: Lease | undefined, era: number): number {
-  return Math.max(shown?.epoch ?? 0, revisionIn(era, 0)) + 1;
+  return Math.max(shown?.epoch ?? 0, makeRevision(era, 0)) + 1;
 }
 
 /** True when a candidate with this observation may acquire the lease. */
--- a/packages/core/src/decision/costs.ts
+++ b/packages/core/src/decision/costs.ts
@@ -14,16 +14,16 @@
 }
 
 /** Cost per second of one replica that is down. */
-export function downRate(input: DecisionInput, model: Model): number {
+export function downtimeCostPerSecond(input: DecisionInput, model: Model): number {
   return input.configuration.deployment['downtime-weight'] * model.importance;
 }
 
 /** Downtime cost per second that a running replica avoids, divided by its number of hosts. */
 export function valuePerHost(input: DecisionInput, model: Model): number {
-  return downRate(input, model) / model.hosts;
+  return downtimeCostPerSecond(input, model) / model.hosts;
 }
 
 /** Cost per second of `hosts` hosts of a group that are idle. */
-export function strandedRate(input: DecisionInput, group: Group, hosts: number): number {
+export function idleCostPerSecond(input: DecisionInput, group: Group, hosts: number): number {
   return input.configuration.deployment['stranded-weight'] * acceleratorsOf(input, group) * hosts;
 }
--- a/packages/core/src/decision/decision-input.ts
+++ b/packages/core/src/decision/decision-input.ts
@@ -5,7 +5,7 @@
 import type { HostStateReport } from '../hosts/host-protocol.js';
 
 /** Observed state of a host at the time of a decision. */
-export type HostFact = {
+export type HostSnapshot = {
   readonly host: Host;
   /** Last reported state; undefined when the host has never answered this observer. */
   readonly report: HostStateReport | undefined;
@@ -46,45 +46,45 @@
 export type DecisionInput = {
   readonly failureDomain: FailureDomainId;
   readonly configuration: Configuration;
-  readonly hosts: ReadonlyMap<HostId, HostFact>;
+  readonly hosts: ReadonlyMap<HostId, HostSnapshot>;
   readonly ledgers: readonly Ledger[];
   readonly ages: GroupAges;
   readonly times: ContractTimes;
   /** Last known groups of other failure domains. */
-  readonly remote: readonly RemoteGroup[];
+  readonly remoteGroups: readonly RemoteGroup[];
   /** Failure domains without any report for a long time; the others take over their replicas. */
-  readonly absent: readonly FailureDomainId[];
+  readonly absentDomains: readonly FailureDomainId[];
 };
 
 /** Losses within the observer's memory from which a host counts as flapping. */
 export const FLAPPING_LOSSES = 3;
 
 /** Key of a group's present state in `GroupAges`. */
-export function ageKey(group: Group): string {
+export function stateAgeKey(group: Group): string {
   return `${group.id}/${group.epoch}/${group.state}`;
 }
 
 /** Milliseconds for which a group has been in its present state; 0 when unknown. */
-export function ageOf(input: DecisionInput, group: Group): number {
-  return input.ages.get(ageKey(group)) ?? 0;
+export function stateAgeMs(input: DecisionInput, group: Group): number {
+  return input.ages.get(stateAgeKey(group)) ?? 0;
 }
 
 /** True when a host answered the last probe. */
-export function answers(observation: HostFact | undefined): observation is HostFact {
+export function isAnswering(observation: HostSnapshot | undefined): observation is HostSnapshot {
   return (
     observation !== undefined && observation.report !== undefined && observation.silentMs === 0
   );
 }
 
 /** True when a host neither answers nor is known to be missing: its state is unknown, nothing may be decided on it. */
-export function isUnheard(observation: HostFact | undefined): boolean {
-  return observation !== undefined && !observation.isMissing && !answers(observation);
+export function hasUnknownState(observation: HostSnapshot | undefined): boolean {
+  return observation !== undefined && !observation.isMissing && !isAnswering(observation);
 }
 
 /** True when a member answers and reports that it has loaded its group's present epoch. */
-export function memberIsLoaded(group: Group, observation: HostFact | undefined): boolean {
+export function memberIsLoaded(group: Group, observation: HostSnapshot | undefined): boolean {
   return (
-    answers(observation) &&
+    isAnswering(observation) &&
     observation.report?.group === group.id &&
     observation.report.epoch === group.epoch &&
     observation.report.loaded
@@ -92,12 +92,15 @@
 }
 
 /** True when the platform reclaims a host or an operator drains it. */
-export function isLeaving(ledger: Ledger, observation: HostFact): boolean {
+export function isLeaving(ledger: Ledger, observation: HostSnapshot): boolean {
   return observation.host.state === 'leaving' || ledger.cordoned.includes(observation.host.id);
 }
 
 /** Failure domains that may hold replicas of a model, in the order of the configuration. */
-export function domainsOf(configuration: Configuration, model: Model): readonly FailureDomainId[] {
+export function domainsOfModel(
+  configuration: Configuration,
+  model: Model,
+): readonly FailureDomainId[] {
   const named = model['failure-domains'];
   return named.length > 0 ? named : configuration.deployment['failure-domains'];
 }
@@ -107,8 +110,8 @@
  * absent; the first ones hold the remainder.
  */
 export function wantedReplicas(input: DecisionInput, model: Model): number {
-  const { configuration, failureDomain, absent } = input;
-  const present = domainsOf(configuration, model).filter(domain => !absent.includes(domain));
+  const { configuration, failureDomain, absentDomains: absent } = input;
+  const present = domainsOfModel(configuration, model).filter(domain => !absent.includes(domain));
   const index = present.indexOf(failureDomain);
   if (index < 0) {
     return 0;
--- a/packages/core/src/decision/displacement.ts
+++ b/packages/core/src/decision/displacement.ts
@@ -4,7 +4,7 @@
  */
 import type { Model } from '../configuration/objects.js';
 import type { FabricDomainId } from '../hosts/host.js';
-import { downRate, loadMs, valuePerHost } from './costs.js';
+import { downtimeCostPerSecond, loadMs, valuePerHost } from './costs.js';
 import { wantedReplicas } from './decision-input.js';
 import type { PlacedGroup, Plan } from './plan.js';
 
@@ -24,15 +24,15 @@
 const DRAIN_ESTIMATE_S = 20;
 
 /** Displaces groups for the most valuable missing replica; makes at most one displacement per decision. */
-export function displaceForMissing(plan: Plan): void {
+export function displaceForMissingReplica(plan: Plan): void {
   if (isFreeingHosts(plan)) {
     return;
   }
   const models = [...plan.input.configuration.models].sort(
-    ([, a], [, b]) => downRate(plan.input, b) - downRate(plan.input, a),
+    ([, a], [, b]) => downtimeCostPerSecond(plan.input, b) - downtimeCostPerSecond(plan.input, a),
   );
   for (const [name, model] of models) {
-    if (plan.held(name) >= wantedReplicas(plan.input, model)) {
+    if (plan.countReplicas(name) >= wantedReplicas(plan.input, model)) {
       continue;
     }
     const best = findDisplacement(plan, model);
@@ -49,7 +49,9 @@
     .ledgers()
     .map(({ fabricDomain }) => cheapestDisplacement(plan, fabricDomain, model))
     .filter(found => found !== undefined)
-    .filter(found => found.gain > MIN_GAIN_PART * downRate(plan.input, model) * HORIZON_S)
+    .filter(
+      found => found.gain > MIN_GAIN_PART * downtimeCostPerSecond(plan.input, model) * HORIZON_S,
+    )
     .sort((a, b) => b.gain - a.gain)[0];
 }
 
@@ -59,7 +61,7 @@
   fabricDomain: FabricDomainId,
   model: Model,
 ): Displacement | undefined {
-  const free = plan.free(fabricDomain, model.upstream).length;
+  const free = plan.freeHosts(fabricDomain, model.upstream).length;
   const candidates = plan
     .ledger(fabricDomain)
     .groups.filter(group => group.state === 'ready')
@@ -78,7 +80,7 @@
     return undefined;
   }
   const gain =
-    downRate(plan.input, model) * HORIZON_S -
+    downtimeCostPerSecond(plan.input, model) * HORIZON_S -
     downtimeCostOfVictims(plan, fabricDomain, model, victims);
   return { fabricDomain, victims, gain };
 }
@@ -99,7 +101,7 @@
     }
     const fabricIndex = freeHosts.findIndex(hosts => hosts >= victimModel.hosts);
     const moveS = DRAIN_ESTIMATE_S + loadMs(plan.input, victimModel, victimModel.hosts) / 1000;
-    cost += downRate(plan.input, victimModel) * (fabricIndex < 0 ? HORIZON_S : moveS);
+    cost += downtimeCostPerSecond(plan.input, victimModel) * (fabricIndex < 0 ? HORIZON_S : moveS);
     if (fabricIndex >= 0) {
       freeHosts[fabricIndex] -= victimModel.hosts;
     }
@@ -116,7 +118,7 @@
 ): number[] {
   const freed = victims.reduce((sum, { group }) => sum + group.members.length, 0);
   return plan.ledgers().map(ledger => {
-    const free = plan.free(ledger.fabricDomain, model.upstream).length;
+    const free = plan.freeHosts(ledger.fabricDomain, model.upstream).length;
     return ledger.fabricDomain === fabricDomain ? free + freed - model.hosts : free;
   });
 }
@@ -139,6 +141,6 @@
   for (const { ledger, group } of displacement.victims) {
     const reason = `makes room for a missing replica of ${name}`;
     const action = { kind: 'move', state: 'draining' } as const;
-    plan.add(ledger.fabricDomain, group.id, reason, action, alternatives);
+    plan.addChange(ledger.fabricDomain, group.id, reason, action, alternatives);
   }
 }
--- a/packages/core/src/decision/drains.ts
+++ b/packages/core/src/decision/drains.ts
@@ -4,22 +4,22 @@
 import type { FailureDomainId, HostId } from '../hosts/host.js';
 import type { DecisionInput } from './decision-input.js';
 import {
-  ageOf,
-  domainsOf,
+  domainsOfModel,
   hasOutdatedAdapters,
+  hasUnknownState,
   isLeaving,
-  isUnheard,
   memberIsLoaded,
+  stateAgeMs,
   wantedReplicas,
 } from './decision-input.js';
-import { canForm, formOne } from './formation.js';
+import { canFormReplica, formReplica } from './formation.js';
 import type { PlacedGroup, Plan } from './plan.js';
 
 /**
  * Drains groups with a leaving member; their replacement is formed in the same plan. When an operator drains a host of
  * the last group that serves a model, that group is drained only once its replacement is ready.
  */
-export function drainLeaving(plan: Plan): void {
+export function drainGroupsWithLeavingHosts(plan: Plan): void {
   for (const { ledger, group } of plan.groups()) {
     const leaving = group.members.filter(member => {
       const observation = plan.input.hosts.get(member);
@@ -36,12 +36,12 @@
 }
 
 /** Drains replicas beyond the wanted number, and all replicas of models that are not declared. */
-export function drainExcess(plan: Plan): void {
+export function drainExcessReplicas(plan: Plan): void {
   const names = new Set(plan.groups().map(({ group }) => group.content.model));
   for (const name of names) {
     const model = plan.model(name);
     const wanted = model === undefined ? 0 : wantedReplicas(plan.input, model);
-    for (let excess = plan.held(name) - wanted; excess > 0; excess--) {
+    for (let excess = plan.countReplicas(name) - wanted; excess > 0; excess--) {
       const victim = leastUsefulReplica(plan, name);
       if (victim === undefined) {
         break;
@@ -52,7 +52,7 @@
 }
 
 /** Ends drained groups: suspends those that are to be repaired and keep their remaining hosts, fences the others. */
-export function endDrained(plan: Plan): void {
+export function endDrainedGroups(plan: Plan): void {
   for (const { ledger, group } of plan.groups()) {
     if (group.state !== 'draining' || !isDrained(plan.input, group)) {
       continue;
@@ -61,7 +61,7 @@
     const running = plan.input.hosts.get(group.members[0])?.report?.running ?? 0;
     const reason = running === 0 ? 'drained' : `drain time is over with ${running} running`;
     const state = willRepair ? 'suspended' : 'fencing';
-    plan.add(ledger.fabricDomain, group.id, reason, { kind: 'move', state });
+    plan.addChange(ledger.fabricDomain, group.id, reason, { kind: 'move', state });
   }
 }
 
@@ -83,8 +83,8 @@
       continue;
     }
     const versionChanges = serving[0].group.content.version !== model.version;
-    if (versionChanges && canForm(plan, model)) {
-      formOne(plan, name, model);
+    if (versionChanges && canFormReplica(plan, model)) {
+      formReplica(plan, name, model);
     } else if (hasOtherReadyReplica(plan, name)) {
       drain(plan, serving[0], `moves to version ${model.version}`);
     }
@@ -93,9 +93,9 @@
 
 /** True when a draining group runs no requests and no gateway may send it more, or its drain time has expired. */
 export function isDrained(input: DecisionInput, group: Group): boolean {
-  const age = ageOf(input, group);
+  const age = stateAgeMs(input, group);
   const head = input.hosts.get(group.members[0]);
-  if (isUnheard(head)) {
+  if (hasUnknownState(head)) {
     return age >= input.times.drainMs;
   }
   const running = memberIsLoaded(group, head) ? (head?.report?.running ?? 0) : 0;
@@ -114,15 +114,16 @@
 function isChanging(plan: Plan, name: string, model: Model): boolean {
   const groups = plan.groups().filter(({ group }) => group.content.model === name);
   const unsettled = groups.some(({ group }) => group.state !== 'ready');
-  return unsettled || plan.held(name) > wantedReplicas(plan.input, model);
+  return unsettled || plan.countReplicas(name) > wantedReplicas(plan.input, model);
 }
 
 // Failure domains change version one after the other, in the order of the configuration.
 function isTurnOfDomain(input: DecisionInput, name: string, model: Model): boolean {
-  const domains = domainsOf(input.configuration, model);
+  const domains = domainsOfModel(input.configuration, model);
   const before = domains.slice(0, domains.indexOf(input.failureDomain));
   return before.every(
-    domain => input.absent.includes(domain) || hasDeclaredVersion(input, domain, name, model),
+    domain =>
+      input.absentDomains.includes(domain) || hasDeclaredVersion(input, domain, name, model),
   );
 }
 
@@ -132,7 +133,7 @@
   name: string,
   model: Model,
 ): boolean {
-  const groups = input.remote.filter(
+  const groups = input.remoteGroups.filter(
     group => group.failureDomain === domain && group.content.model === name,
   );
   return groups.every(
@@ -144,7 +145,7 @@
   const here = plan
     .groups()
     .filter(({ group }) => group.content.model === name && group.state === 'ready').length;
-  const elsewhere = plan.input.remote.filter(
+  const elsewhere = plan.input.remoteGroups.filter(
     group => group.content.model === name && group.state === 'ready',
   ).length;
   return here + elsewhere > 1;
@@ -169,7 +170,7 @@
     });
     return isOther && group.state === 'ready' && staysInService;
   });
-  const elsewhere = plan.input.remote.filter(
+  const elsewhere = plan.input.remoteGroups.filter(
     group => group.content.model === content.model && group.state === 'ready',
   );
   return others.length + elsewhere.length === 0;
@@ -188,12 +189,12 @@
       ({ group }) =>
         group.content.model === content.model &&
         group.state === 'loading' &&
-        ageOf(input, group) < input.times.drainMs,
+        stateAgeMs(input, group) < input.times.drainMs,
     );
-  const isWanted = plan.held(content.model) < wantedReplicas(input, model);
+  const isWanted = plan.countReplicas(content.model) < wantedReplicas(input, model);
   // Hosts whose state is unknown may turn out to be free.
-  const mayBeFree = [...input.hosts.values()].some(observation => isUnheard(observation));
-  return isLoading || (isWanted && (mayBeFree || canForm(plan, model)));
+  const mayBeFree = [...input.hosts.values()].some(observation => hasUnknownState(observation));
+  return isLoading || (isWanted && (mayBeFree || canFormReplica(plan, model)));
 }
 
 // Prefers suspended groups, then outdated versions, then the newest group, whose cache holds the least.
@@ -213,7 +214,7 @@
 
 function drain(plan: Plan, { ledger, group }: PlacedGroup, reason: string): void {
   const state = group.state === 'ready' ? 'draining' : 'fencing';
-  plan.add(ledger.fabricDomain, group.id, reason, { kind: 'move', state });
+  plan.addChange(ledger.fabricDomain, group.id, reason, { kind: 'move', state });
 }
 
 // In a repair the remaining members keep their weights, so that only the new hosts load.
@@ -222,7 +223,7 @@
   if (model === undefined || group.content.version !== model.version) {
     return false;
   }
-  if (plan.held(group.content.model) >= wantedReplicas(plan.input, model)) {
+  if (plan.countReplicas(group.content.model) >= wantedReplicas(plan.input, model)) {
     return false;
   }
   const leaving = group.members.filter(member => {
@@ -231,5 +232,7 @@
   });
   // A group that drains for another reason, such as to make room, must not be repaired on the same hosts.
   const wantsRepair = leaving.length > 0 || hasOutdatedAdapters(plan.input, group);
-  return wantsRepair && plan.free(ledger.fabricDomain, model.upstream).length >= leaving.length;
+  return (
+    wantsRepair && plan.freeHosts(ledger.fabricDomain, model.upstream).length >= leaving.length
+  );
 }
--- a/packages/core/src/decision/formation.ts
+++ b/packages/core/src/decision/formation.ts
@@ -4,7 +4,7 @@
 import type { FabricDomainId } from '../hosts/host.js';
 import { valuePerHost } from './costs.js';
 import { wantedReplicas } from './decision-input.js';
-import type { Alternative } from './ledger-order.js';
+import type { Alternative } from './ledger-change.js';
 import type { Plan } from './plan.js';
 
 // A fabric domain with enough free hosts for one replica.
@@ -15,7 +15,7 @@
  * first, since fewer fabric domains have room for it. A less valuable replica does not get hosts in a fabric domain
  * where a more valuable one waits for room.
  */
-export function formMissing(plan: Plan): void {
+export function formMissingReplicas(plan: Plan): void {
   const models = [...plan.input.configuration.models].sort(
     ([, a], [, b]) =>
       valuePerHost(plan.input, b) - valuePerHost(plan.input, a) || b.hosts - a.hosts,
@@ -23,10 +23,10 @@
   const reserved = new Set<FabricDomainId>();
   for (const [name, model] of models) {
     const wanted = wantedReplicas(plan.input, model);
-    while (plan.held(name) < wanted && formOne(plan, name, model, reserved)) {
+    while (plan.countReplicas(name) < wanted && formReplica(plan, name, model, reserved)) {
       // Each iteration adds one group to the plan.
     }
-    if (plan.held(name) < wanted) {
+    if (plan.countReplicas(name) < wanted) {
       reserveRoom(plan, model, reserved);
     }
   }
@@ -38,7 +38,7 @@
     const pending = ledger.groups
       .filter(group => group.state === 'draining' || group.state === 'fencing')
       .reduce((sum, group) => sum + group.members.length, 0);
-    const free = plan.free(ledger.fabricDomain, model.upstream).length;
+    const free = plan.freeHosts(ledger.fabricDomain, model.upstream).length;
     if (pending > 0 && free + pending >= model.hosts) {
       reserved.add(ledger.fabricDomain);
     }
@@ -46,12 +46,12 @@
 }
 
 /** True when a missing replica of the model could be formed from free hosts now. */
-export function canForm(plan: Plan, model: Model): boolean {
+export function canFormReplica(plan: Plan, model: Model): boolean {
   return candidatesFor(plan, model).length > 0;
 }
 
 /** Forms one replica where the fewest hosts remain that make no whole group; false when it fits nowhere. */
-export function formOne(
+export function formReplica(
   plan: Plan,
   name: string,
   model: Model,
@@ -66,7 +66,7 @@
   }
   const ledger = plan.ledger(best.fabricDomain);
   const members = plan
-    .free(best.fabricDomain, model.upstream)
+    .freeHosts(best.fabricDomain, model.upstream)
     .slice(0, model.hosts)
     .map(observation => observation.host.id);
   const content = { model: name, version: model.version, adapters: model.adapters };
@@ -75,7 +75,7 @@
     name: candidate.fabricDomain,
     score: fragmentation(candidate, model),
   }));
-  plan.add(
+  plan.addChange(
     best.fabricDomain,
     newGroupId(name, ledger),
     reason,
@@ -90,7 +90,7 @@
     .ledgers()
     .map(({ fabricDomain }) => ({
       fabricDomain,
-      free: plan.free(fabricDomain, model.upstream).length,
+      free: plan.freeHosts(fabricDomain, model.upstream).length,
     }))
     .filter(candidate => candidate.free >= model.hosts);
 }
--- a/packages/core/src/decision/host-loss.ts
+++ b/packages/core/src/decision/host-loss.ts
@@ -1,9 +1,9 @@
 /** Runs the configured `host-loss` policies for a suspended group. */
 import type { Configuration } from '../configuration/objects.js';
-import type { HostLossAnswer, HostLossInput, Program } from '../policies/program.js';
-import { compile, runHostLoss } from '../policies/program.js';
+import type { CompiledPolicy, HostLossAnswer, HostLossInput } from '../policies/program.js';
+import { compilePolicy, runHostLossPolicy } from '../policies/program.js';
 
-const compiledPrograms = new WeakMap<Configuration, readonly Program[]>();
+const compiledPrograms = new WeakMap<Configuration, readonly CompiledPolicy[]>();
 
 /** The first answer other than `default`, and the number of programs that failed before it; a failure is skipped. */
 export function hostLossAnswer(
@@ -12,7 +12,7 @@
 ): { readonly answer: HostLossAnswer; readonly failures: number } {
   let failures = 0;
   for (const program of programsOf(configuration)) {
-    const run = runHostLoss(program, input);
+    const run = runHostLossPolicy(program, input);
     if (!run.ok) {
       failures += 1;
     } else if (run.value !== 'default') {
@@ -23,11 +23,12 @@
 }
 
 // A configuration object is immutable, so its programs are compiled once.
-function programsOf(configuration: Configuration): readonly Program[] {
+function programsOf(configuration: Configuration): readonly CompiledPolicy[] {
   let programs = compiledPrograms.get(configuration);
   if (programs === undefined) {
     programs = [...configuration.policies.values()].flatMap(policy => {
-      const result = policy.hook === 'host-loss' ? compile(policy.hook, policy.program) : undefined;
+      const result =
+        policy.hook === 'host-loss' ? compilePolicy(policy.hook, policy.program) : undefined;
       return result?.ok === true ? [result.value] : [];
     });
     compiledPrograms.set(configuration, programs);
--- a/packages/core/src/decision/ledger-order.ts
+++ b/packages/core/src/decision/ledger-change.ts
@@ -14,7 +14,7 @@
 export type Alternative = { readonly name: string; readonly score: number };
 
 /** A change to the ledger of one fabric domain, with its reason and the alternatives that were compared. */
-export type LedgerOrder = {
+export type LedgerChange = {
   readonly fabricDomain: FabricDomainId;
   /** The group that changes; empty for `clear-unfenced`. */
   readonly group: GroupId;
@@ -40,7 +40,7 @@
   | { readonly kind: 'clear-unfenced'; readonly hosts: ReadonlySet<HostId> };
 
 /** Applies a change; throws `LedgerError` when the ledger does not allow it. */
-export function applyOrder(ledger: Ledger, change: LedgerOrder): Ledger {
+export function applyChange(ledger: Ledger, change: LedgerChange): Ledger {
   switch (change.kind) {
     case 'form':
       return formGroup(ledger, change.group, change.content, change.members, change.reason);
@@ -58,6 +58,6 @@
 }
 
 /** Applies changes of one fabric domain one after the other. */
-export function applyOrders(ledger: Ledger, changes: readonly LedgerOrder[]): Ledger {
-  return changes.reduce(applyOrder, ledger);
+export function applyChanges(ledger: Ledger, changes: readonly LedgerChange[]): Ledger {
+  return changes.reduce(applyChange, ledger);
 }
--- a/packages/core/src/decision/load-queue.ts
+++ b/packages/core/src/decision/load-queue.ts
@@ -1,6 +1,6 @@
 /** Decides which loading groups may read from the weight store now. */
 import type { Group } from '../groups/ledger.js';
-import { downRate, loadMs } from './costs.js';
+import { downtimeCostPerSecond, loadMs } from './costs.js';
 import type { DecisionInput } from './decision-input.js';
 import { memberIsLoaded } from './decision-input.js';
 
@@ -9,7 +9,7 @@
  * share the weight store's bandwidth, so loads that run one after another, highest downtime cost per load time first,
  * finish earlier on average than parallel loads (weighted shortest processing time first).
  */
-export function loadingNow(input: DecisionInput, parallelHosts: number): Set<string> {
+export function groupsAllowedToLoad(input: DecisionInput, parallelHosts: number): Set<string> {
   const queue = input.ledgers
     .flatMap(ledger => ledger.groups)
     .filter(group => group.state === 'loading')
@@ -40,5 +40,7 @@
 
 function downtimeCostPerLoadMs(input: DecisionInput, { group, hosts }: QueuedLoad): number {
   const model = input.configuration.models.get(group.content.model);
-  return model === undefined ? 0 : downRate(input, model) / loadMs(input, model, hosts);
+  return model === undefined
+    ? 0
+    : downtimeCostPerSecond(input, model) / loadMs(input, model, hosts);
 }
--- a/packages/core/src/decision/plan.ts
+++ b/packages/core/src/decision/plan.ts
@@ -3,10 +3,10 @@
 import type { Group, GroupId, Ledger } from '../groups/ledger.js';
 import { assignedHosts } from '../groups/ledger.js';
 import type { FabricDomainId } from '../hosts/host.js';
-import type { DecisionInput, HostFact } from './decision-input.js';
-import { answers, FLAPPING_LOSSES, isLeaving } from './decision-input.js';
-import type { Alternative, LedgerAction, LedgerOrder } from './ledger-order.js';
-import { applyOrder } from './ledger-order.js';
+import type { DecisionInput, HostSnapshot } from './decision-input.js';
+import { FLAPPING_LOSSES, isAnswering, isLeaving } from './decision-input.js';
+import type { Alternative, LedgerAction, LedgerChange } from './ledger-change.js';
+import { applyChange } from './ledger-change.js';
 
 /** A group with the ledger that lists it. */
 export type PlacedGroup = { readonly ledger: Ledger; readonly group: Group };
@@ -14,9 +14,9 @@
 /** Collects ledger changes; each one is applied at once, so that later choices see its effect. */
 export class Plan {
   readonly input: DecisionInput;
-  readonly orders: LedgerOrder[] = [];
+  readonly changes: LedgerChange[] = [];
   readonly #ledgers: Map<FabricDomainId, Ledger>;
-  readonly #byFabricDomain = new Map<FabricDomainId, HostFact[]>();
+  readonly #byFabricDomain = new Map<FabricDomainId, HostSnapshot[]>();
 
   constructor(input: DecisionInput) {
     this.input = input;
@@ -45,20 +45,20 @@
   }
 
   /** Adds a change and applies it; throws `LedgerError` when the ledger does not allow it. */
-  add(
+  addChange(
     fabricDomain: FabricDomainId,
     group: GroupId,
     reason: string,
     action: LedgerAction,
     alternatives: readonly Alternative[] = [],
   ): void {
-    const change: LedgerOrder = { fabricDomain, group, reason, alternatives, ...action };
-    this.#ledgers.set(fabricDomain, applyOrder(this.ledger(fabricDomain), change));
-    this.orders.push(change);
+    const change: LedgerChange = { fabricDomain, group, reason, alternatives, ...action };
+    this.#ledgers.set(fabricDomain, applyChange(this.ledger(fabricDomain), change));
+    this.changes.push(change);
   }
 
   /** Hosts of a fabric domain that may join a group now: first those that do not flap. */
-  free(fabricDomain: FabricDomainId, upstream: string): HostFact[] {
+  freeHosts(fabricDomain: FabricDomainId, upstream: string): HostSnapshot[] {
     const ledger = this.ledger(fabricDomain);
     const assigned = assignedHosts(ledger);
     return (this.#byFabricDomain.get(fabricDomain) ?? [])
@@ -67,14 +67,14 @@
           observation.host.upstream === upstream &&
           !assigned.has(observation.host.id) &&
           !isLeaving(ledger, observation) &&
-          answers(observation) &&
+          isAnswering(observation) &&
           observation.report?.group === null,
       )
       .sort((a, b) => flapRank(a) - flapRank(b) || a.host.id.localeCompare(b.host.id));
   }
 
   /** Number of replicas of a model that count towards the wanted number: not draining, not about to, not fencing. */
-  held(model: string): number {
+  countReplicas(model: string): number {
     return this.groups().filter(
       placed =>
         placed.group.content.model === model &&
@@ -96,6 +96,6 @@
 }
 
 // Hosts below the flapping limit rank equally, so that a single loss does not change the choice of hosts.
-function flapRank(observation: HostFact): number {
+function flapRank(observation: HostSnapshot): number {
   return observation.losses >= FLAPPING_LOSSES ? observation.losses : 0;
 }
--- a/packages/core/src/decision/reconcile.ts
+++ b/packages/core/src/decision/reconcile.ts
@@ -4,20 +4,20 @@
  */
 import type { Group, Ledger } from '../groups/ledger.js';
 import type { HostId } from '../hosts/host.js';
-import type { DecisionInput, HostFact } from './decision-input.js';
+import type { DecisionInput, HostSnapshot } from './decision-input.js';
 import {
-  ageOf,
-  answers,
   hasOutdatedAdapters,
+  hasUnknownState,
+  isAnswering,
   isLeaving,
-  isUnheard,
   memberIsLoaded,
+  stateAgeMs,
 } from './decision-input.js';
-import type { LedgerAction, LedgerOrder } from './ledger-order.js';
+import type { LedgerAction, LedgerChange } from './ledger-change.js';
 
 /** The changes to one ledger that follow from observed states. */
-export function reconcile(input: DecisionInput, ledger: Ledger): LedgerOrder[] {
-  const changes: LedgerOrder[] = [];
+export function reconcile(input: DecisionInput, ledger: Ledger): LedgerChange[] {
+  const changes: LedgerChange[] = [];
   for (const group of ledger.groups) {
     changes.push(...reconcileGroup(input, ledger, group));
   }
@@ -29,7 +29,7 @@
   return changes;
 }
 
-function reconcileGroup(input: DecisionInput, ledger: Ledger, group: Group): LedgerOrder[] {
+function reconcileGroup(input: DecisionInput, ledger: Ledger, group: Group): LedgerChange[] {
   const observations = group.members.map(member => input.hosts.get(member));
   switch (group.state) {
     case 'loading':
@@ -48,8 +48,8 @@
 function reconcileLoading(
   ledger: Ledger,
   group: Group,
-  observations: readonly (HostFact | undefined)[],
-): LedgerOrder[] {
+  observations: readonly (HostSnapshot | undefined)[],
+): LedgerChange[] {
   if (observations.every(observation => memberIsLoaded(group, observation))) {
     return [ledgerChange(ledger, group.id, 'all members have loaded', moveTo('ready'))];
   }
@@ -65,8 +65,8 @@
 function reconcileReady(
   ledger: Ledger,
   group: Group,
-  observations: readonly (HostFact | undefined)[],
-): LedgerOrder[] {
+  observations: readonly (HostSnapshot | undefined)[],
+): LedgerChange[] {
   const missing = group.members.filter((_member, index) => isMissing(group, observations[index]));
   if (missing.length === 0) {
     return [];
@@ -78,8 +78,8 @@
   input: DecisionInput,
   ledger: Ledger,
   group: Group,
-  observations: readonly (HostFact | undefined)[],
-): LedgerOrder[] {
+  observations: readonly (HostSnapshot | undefined)[],
+): LedgerChange[] {
   // A group with a leaving member or outdated adapters is repaired or dissolved, not made ready again.
   const leaving = observations.some(
     observation => observation !== undefined && isLeaving(ledger, observation),
@@ -93,7 +93,7 @@
     ];
   }
   // Members that restarted have lost their weights and load them again in the same epoch.
-  if (observations.every(observation => answers(observation))) {
+  if (observations.every(observation => isAnswering(observation))) {
     return [
       ledgerChange(
         ledger,
@@ -109,8 +109,8 @@
 function reconcileDraining(
   ledger: Ledger,
   group: Group,
-  observations: readonly (HostFact | undefined)[],
-): LedgerOrder[] {
+  observations: readonly (HostSnapshot | undefined)[],
+): LedgerChange[] {
   if (!observations.some(observation => isMissing(group, observation))) {
     return [];
   }
@@ -121,12 +121,12 @@
   input: DecisionInput,
   ledger: Ledger,
   group: Group,
-  observations: readonly (HostFact | undefined)[],
-): LedgerOrder[] {
+  observations: readonly (HostSnapshot | undefined)[],
+): LedgerChange[] {
   const confirmed = group.members.filter(
     (member, index) =>
       !group.fenced.includes(member) &&
-      answers(observations[index]) &&
+      isAnswering(observations[index]) &&
       observations[index].report?.group !== group.id,
   );
   const changes = confirmed.map(host =>
@@ -139,9 +139,9 @@
     (member, index) =>
       !group.fenced.includes(member) &&
       !confirmed.includes(member) &&
-      (answers(observations[index]) || isUnheard(observations[index])),
+      (isAnswering(observations[index]) || hasUnknownState(observations[index])),
   );
-  if (unconfirmed.length === 0 && ageOf(input, group) >= input.times.certificateMs) {
+  if (unconfirmed.length === 0 && stateAgeMs(input, group) >= input.times.certificateMs) {
     changes.push(
       ledgerChange(ledger, group.id, 'members are reset or silent', {
         kind: 'dissolve',
@@ -156,7 +156,7 @@
   const cleared = new Set<HostId>();
   for (const entry of ledger.unfenced) {
     const observation = input.hosts.get(entry.host);
-    const reset = answers(observation) && observation.report?.group === null;
+    const reset = isAnswering(observation) && observation.report?.group === null;
     if (observation === undefined || reset) {
       cleared.add(entry.host);
     }
@@ -165,11 +165,11 @@
 }
 
 // A host that has not answered this observer yet does not count as missing.
-function isMissing(group: Group, observation: HostFact | undefined): boolean {
-  return isLost(observation) || (answers(observation) && !memberIsLoaded(group, observation));
+function isMissing(group: Group, observation: HostSnapshot | undefined): boolean {
+  return isLost(observation) || (isAnswering(observation) && !memberIsLoaded(group, observation));
 }
 
-function isLost(observation: HostFact | undefined): boolean {
+function isLost(observation: HostSnapshot | undefined): boolean {
   return observation === undefined || observation.isMissing;
 }
 
@@ -182,7 +182,7 @@
   group: string,
   reason: string,
   action: LedgerAction,
-): LedgerOrder {
+): LedgerChange {
   return {
     fabricDomain: ledger.fabricDomain,
     group,
--- a/packages/core/src/decision/broken-groups.ts
+++ b/packages/core/src/decision/suspended-groups.ts
@@ -9,12 +9,18 @@
 import type { Model } from '../configuration/objects.js';
 import type { Ledger } from '../groups/ledger.js';
 import type { HostId } from '../hosts/host.js';
-import { downRate, loadMs, strandedRate } from './costs.js';
-import type { HostFact } from './decision-input.js';
-import { ageOf, answers, FLAPPING_LOSSES, isLeaving, isUnheard } from './decision-input.js';
-import { canForm } from './formation.js';
+import { downtimeCostPerSecond, idleCostPerSecond, loadMs } from './costs.js';
+import type { HostSnapshot } from './decision-input.js';
+import {
+  FLAPPING_LOSSES,
+  hasUnknownState,
+  isAnswering,
+  isLeaving,
+  stateAgeMs,
+} from './decision-input.js';
+import { canFormReplica } from './formation.js';
 import { hostLossAnswer } from './host-loss.js';
-import type { Alternative } from './ledger-order.js';
+import type { Alternative } from './ledger-change.js';
 import type { PlacedGroup, Plan } from './plan.js';
 
 /** A suspended group with the data that the choice depends on. */
@@ -38,7 +44,7 @@
 const PATIENCE_FACTOR = 1;
 
 /** Adds changes for all suspended groups, highest downtime cost per missing host first. */
-export function treatBroken(plan: Plan): void {
+export function handleSuspendedGroups(plan: Plan): void {
   const suspended = plan
     .groups()
     .filter(({ group }) => group.state === 'suspended')
@@ -69,12 +75,12 @@
   const observations = new Map(group.members.map(member => [member, input.hosts.get(member)]));
   const missing = group.members.filter(member => isMissing(ledger, observations.get(member)));
   const mayReturn = [...observations.values()].some(
-    observation => isUnheard(observation) || observation?.mayReturn === true,
+    observation => hasUnknownState(observation) || observation?.mayReturn === true,
   );
   const hasPermanentLoss = missing.some(member =>
     isPermanentlyLost(ledger, observations.get(member)),
   );
-  const waitedMs = ageOf(input, group);
+  const waitedMs = stateAgeMs(input, group);
   if (model === undefined) {
     const undeclared = { model: UNDECLARED_MODEL, patienceMs: 0, mustDissolve: true };
     return { ...placed, ...undeclared, missing, hasPermanentLoss, mayReturn, waitedMs };
@@ -126,18 +132,18 @@
     hosts: group.members.length,
     missing,
     missingMs: waitedMs,
-    spares: plan.free(ledger.fabricDomain, model.upstream).length,
+    spares: plan.freeHosts(ledger.fabricDomain, model.upstream).length,
     loadMs: repairMs,
     ready,
   }).answer;
 }
 
-function isMissing(ledger: Ledger, observation: HostFact | undefined): boolean {
-  return !answers(observation) || isLeaving(ledger, observation);
+function isMissing(ledger: Ledger, observation: HostSnapshot | undefined): boolean {
+  return !isAnswering(observation) || isLeaving(ledger, observation);
 }
 
 // A flapping host returns only for a short time, so the group does not wait for it.
-function isPermanentlyLost(ledger: Ledger, observation: HostFact | undefined): boolean {
+function isPermanentlyLost(ledger: Ledger, observation: HostSnapshot | undefined): boolean {
   return (
     observation === undefined ||
     isLeaving(ledger, observation) ||
@@ -146,12 +152,12 @@
 }
 
 function downtimeCostPerMissing(plan: Plan, entry: SuspendedGroup): number {
-  return downRate(plan.input, entry.model) / Math.max(1, entry.missing.length);
+  return downtimeCostPerSecond(plan.input, entry.model) / Math.max(1, entry.missing.length);
 }
 
 function repair(plan: Plan, entry: SuspendedGroup): boolean {
   const { ledger, group, model, missing } = entry;
-  const spares = plan.free(ledger.fabricDomain, model.upstream);
+  const spares = plan.freeHosts(ledger.fabricDomain, model.upstream);
   if (spares.length < missing.length) {
     return false;
   }
@@ -165,12 +171,18 @@
   const content = { model: group.content.model, version: model.version, adapters: model.adapters };
   const action = { kind: 'repair', replacements, content } as const;
   const reason = missing.length === 0 ? 'loads again' : `replace ${replacementText}: ${wait}`;
-  plan.add(ledger.fabricDomain, group.id, reason, action, waitOrRepairAlternatives(plan, entry));
+  plan.addChange(
+    ledger.fabricDomain,
+    group.id,
+    reason,
+    action,
+    waitOrRepairAlternatives(plan, entry),
+  );
   return true;
 }
 
 function waitOrRepairAlternatives(plan: Plan, entry: SuspendedGroup): Alternative[] {
-  const rate = downRate(plan.input, entry.model);
+  const rate = downtimeCostPerSecond(plan.input, entry.model);
   const repairCost = (rate * loadMs(plan.input, entry.model, entry.missing.length)) / 1000;
   return [
     {
@@ -184,7 +196,7 @@
 // Fences groups that cannot be repaired where a new replica can be formed from free hosts.
 function fenceIfFormableElsewhere(plan: Plan, unrepaired: readonly SuspendedGroup[]): void {
   for (const entry of unrepaired) {
-    if (canForm(plan, entry.model)) {
+    if (canFormReplica(plan, entry.model)) {
       fence(plan, entry, 'a new replica can be formed elsewhere');
     }
   }
@@ -228,7 +240,7 @@
       .map(other => ({ other, gain: preemptionGain(plan, entry, other) }))
       .filter(({ gain }) => gain > 0 && paysOff(plan, entry, gain))
       .sort((a, b) => b.gain - a.gain)[0];
-    const alreadyHelped = plan.orders.some(change => change.reason.includes(entry.group.id));
+    const alreadyHelped = plan.changes.some(change => change.reason.includes(entry.group.id));
     if (victim !== undefined && !alreadyHelped) {
       const { ledger, group } = victim.other;
       const reason = `its hosts complete ${entry.group.id}, which is more important`;
@@ -236,14 +248,14 @@
         { name: 'leave as it is', score: 0 },
         { name: 'preempt', score: -victim.gain },
       ];
-      plan.add(ledger.fabricDomain, group.id, reason, DRAIN_ACTION, alternatives);
+      plan.addChange(ledger.fabricDomain, group.id, reason, DRAIN_ACTION, alternatives);
     }
   }
 }
 
 // Ids of the groups that this plan already moves to `fencing`.
 function idsBeingFenced(plan: Plan): string[] {
-  return plan.orders
+  return plan.changes
     .filter(change => change.kind === 'move' && change.state === 'fencing')
     .map(change => change.group);
 }
@@ -265,21 +277,21 @@
 function preemptionGain(plan: Plan, entry: SuspendedGroup, other: PlacedGroup): number {
   const { input } = plan;
   const otherModel = plan.model(other.group.content.model);
-  const lost = otherModel === undefined ? 0 : downRate(input, otherModel);
-  const idleBefore = strandedRate(input, entry.group, survivorCount(entry));
-  const idleAfter = strandedRate(
+  const lost = otherModel === undefined ? 0 : downtimeCostPerSecond(input, otherModel);
+  const idleBefore = idleCostPerSecond(input, entry.group, survivorCount(entry));
+  const idleAfter = idleCostPerSecond(
     input,
     other.group,
     Math.max(0, other.group.members.length - entry.missing.length),
   );
-  return downRate(input, entry.model) - lost + idleBefore - idleAfter;
+  return downtimeCostPerSecond(input, entry.model) - lost + idleBefore - idleAfter;
 }
 
 // Preemption starts once the gain over the time waited so far covers the downtime that the load itself costs.
 function paysOff(plan: Plan, entry: SuspendedGroup, gain: number): boolean {
   const cost =
     (loadMs(plan.input, entry.model, entry.missing.length) / 1000) *
-    downRate(plan.input, entry.model);
+    downtimeCostPerSecond(plan.input, entry.model);
   return (entry.waitedMs / 1000) * gain >= cost;
 }
 
@@ -288,12 +300,12 @@
 }
 
 function spareCount(plan: Plan, entry: SuspendedGroup): number {
-  return plan.free(entry.ledger.fabricDomain, entry.model.upstream).length;
+  return plan.freeHosts(entry.ledger.fabricDomain, entry.model.upstream).length;
 }
 
 function fence(plan: Plan, entry: SuspendedGroup, reason: string): void {
   const { ledger, group } = entry;
-  plan.add(ledger.fabricDomain, group.id, reason, { kind: 'move', state: 'fencing' });
+  plan.addChange(ledger.fabricDomain, group.id, reason, { kind: 'move', state: 'fencing' });
 }
 
 function formatSeconds(ms: number): string {
--- a/packages/core/src/hosts/lapsed-domains.test.ts
+++ b/packages/core/src/hosts/mass-loss-detector.test.ts
@@ -4,8 +4,8 @@
  */
 import { expect } from 'chai';
 
-import type { DomainHost } from './lapsed-domains.js';
-import { LapsedDomains } from './lapsed-domains.js';
+import type { ObservedHost } from './mass-loss-detector.js';
+import { MassLossDetector } from './mass-loss-detector.js';
 
 const DISCONNECTED_AT = 10_000;
 
@@ -13,27 +13,27 @@
   count: number,
   missingForMs: number | undefined = undefined,
   fabricDomain = 'd0',
-): readonly DomainHost[] {
+): readonly ObservedHost[] {
   return Array.from({ length: count }, () => ({ fabricDomain, missingForMs }));
 }
 
 describe('fabric domains that lose most of their hosts at once', () => {
   it('are reported until the last hosts have had time to return', () => {
-    const detector = new LapsedDomains();
+    const detector = new MassLossDetector();
     expect([...detector.observe(hosts(8, 0), DISCONNECTED_AT)]).to.deep.equal(['d0']);
-    const after = (ms: number): readonly DomainHost[] => [...hosts(6), ...hosts(2, ms)];
+    const after = (ms: number): readonly ObservedHost[] => [...hosts(6), ...hosts(2, ms)];
     expect(detector.observe(after(2_000), DISCONNECTED_AT + 2_000).has('d0')).to.equal(true);
     expect(detector.observe(after(4_400), DISCONNECTED_AT + 4_400).has('d0')).to.equal(false);
   });
 
   it('do not include domains that lose single hosts', () => {
-    const detector = new LapsedDomains();
+    const detector = new MassLossDetector();
     expect(detector.observe([...hosts(6), ...hosts(2, 0)], DISCONNECTED_AT).size).to.equal(0);
     expect(detector.observe(hosts(1, 0, 'small'), DISCONNECTED_AT).size).to.equal(0);
   });
 
   it('are no longer reported when their hosts stay missing', () => {
-    const detector = new LapsedDomains();
+    const detector = new MassLossDetector();
     detector.observe(hosts(8, 0), DISCONNECTED_AT);
     expect(detector.observe(hosts(8, 20_000), DISCONNECTED_AT + 20_000).size).to.equal(0);
   });
--- a/packages/core/src/hosts/lapsed-domains.ts
+++ b/packages/core/src/hosts/mass-loss-detector.ts
@@ -8,7 +8,7 @@
 import type { FabricDomainId } from './host.js';
 
 /** The observed state of one host. */
-export type DomainHost = {
+export type ObservedHost = {
   readonly fabricDomain: FabricDomainId;
   /** Milliseconds for which the host has been missing; undefined while it is present. */
   readonly missingForMs: number | undefined;
@@ -24,13 +24,13 @@
 const RETURN_WINDOW_MS = 2_300;
 
 /** Remembers when each fabric domain last lacked most of its hosts. */
-export class LapsedDomains {
+export class MassLossDetector {
   readonly #massLossAt = new Map<FabricDomainId, number>();
 
   /**
    * Evaluates all hosts at `now` (monotonic ms). Returns the domains whose missing hosts may answer again soon.
    */
-  observe(hosts: readonly DomainHost[], now: number): ReadonlySet<FabricDomainId> {
+  observe(hosts: readonly ObservedHost[], now: number): ReadonlySet<FabricDomainId> {
     const present = countByDomain(hosts.filter(host => host.missingForMs === undefined));
     const missing = countByDomain(hosts.filter(host => isRecentlyMissing(host)));
     for (const [domain, count] of missing) {
@@ -48,11 +48,11 @@
   }
 }
 
-function isRecentlyMissing({ missingForMs }: DomainHost): boolean {
+function isRecentlyMissing({ missingForMs }: ObservedHost): boolean {
   return missingForMs !== undefined && missingForMs < MAX_MISSING_MS;
 }
 
-function countByDomain(hosts: readonly DomainHost[]): ReadonlyMap<FabricDomainId, number> {
+function countByDomain(hosts: readonly ObservedHost[]): ReadonlyMap<FabricDomainId, number> {
   const counts = new Map<FabricDomainId, number>();
   for (const { fabricDomain } of hosts) {
     counts.set(fabricDomain, (counts.get(fabricDomain) ?? 0) + 1);
--- a/packages/core/src/policies/program.ts
+++ b/packages/core/src/policies/program.ts
@@ -98,16 +98,16 @@
   { readonly ok: true; readonly value: T } | { readonly ok: false; readonly reason: string };
 
 /** A compiled and type-checked program. */
-export type Program = (input: Readonly<Record<string, unknown>>) => unknown;
+export type CompiledPolicy = (input: Readonly<Record<string, unknown>>) => unknown;
 
 /** Returns the error messages of a program (syntax, names, types, result type, size); empty when it is valid. */
 export function checkPolicy(hook: PolicyHook, program: string): string[] {
-  const compiled = compile(hook, program);
+  const compiled = compilePolicy(hook, program);
   return compiled.ok ? [] : [compiled.reason];
 }
 
 /** Compiles a program for a hook and checks its types. */
-export function compile(hook: PolicyHook, program: string): PolicyRun<Program> {
+export function compilePolicy(hook: PolicyHook, program: string): PolicyRun<CompiledPolicy> {
   try {
     const parsed = environmentFor(hook).parse(program);
     const check = parsed.check();
@@ -122,15 +122,15 @@
         reason: `program returns ${check.type}, but the hook requires ${wanted}`,
       };
     }
-    return { ok: true, value: parsed as Program };
+    return { ok: true, value: parsed as CompiledPolicy };
   } catch (error) {
     return { ok: false, reason: firstLine(error) };
   }
 }
 
 /** Runs a program whose result must be a number between `min` and `max`. */
-export function runNumber(
-  program: Program,
+export function runNumericPolicy(
+  program: CompiledPolicy,
   input: PriorityInput | CapacityInput,
   min: number,
   max: number,
@@ -150,7 +150,10 @@
 }
 
 /** Runs a `host-loss` program, whose result must be one of `HOST_LOSS_ANSWERS`. */
-export function runHostLoss(program: Program, input: HostLossInput): PolicyRun<HostLossAnswer> {
+export function runHostLossPolicy(
+  program: CompiledPolicy,
+  input: HostLossInput,
+): PolicyRun<HostLossAnswer> {
   const run = runSafely(program, input);
   if (!run.ok) {
     return run;
@@ -166,7 +169,7 @@
   return { ok: true, value: answer };
 }
 
-function runSafely(program: Program, input: object): PolicyRun<unknown> {
+function runSafely(program: CompiledPolicy, input: object): PolicyRun<unknown> {
   try {
     return { ok: true, value: program(input as Record<string, unknown>) };
   } catch (error) {
--- a/packages/core/src/requests/burn.ts
+++ b/packages/core/src/requests/burn-rate.ts
@@ -29,7 +29,7 @@
 };
 
 /** True when both times of a request are within the service level. */
-export function keepsLevel(
+export function meetsServiceLevel(
   level: ServiceLevel,
   firstTokenMs: number,
   betweenTokensMs: number,
--- a/packages/core/src/store/revision.ts
+++ b/packages/core/src/store/revision.ts
@@ -6,7 +6,7 @@
  * revisions is always the greater.
  */
 
-/** Era and revision number of the store in one number; built by {@link revisionIn}. */
+/** Era and revision number of the store in one number; built by {@link makeRevision}. */
 export type Revision = number;
 
 /** Revision numbers in one era: enough for a hundred changes a second for more than a thousand years. */
@@ -25,7 +25,7 @@
 }
 
 /** Combines an era and a number in it; throws a {@link RevisionError} when one of them is out of bounds. */
-export function revisionIn(era: number, number: number): Revision {
+export function makeRevision(era: number, number: number): Revision {
   const isEraValid = Number.isInteger(era) && era >= 0 && era < MAX_ERAS;
   const isNumberValid = Number.isInteger(number) && number >= 0 && number < NUMBERS_PER_ERA;
   if (!isEraValid || !isNumberValid) {
--- a/packages/core/src/store/store-eras.ts
+++ b/packages/core/src/store/store-era-tracker.ts
@@ -8,7 +8,7 @@
 const DECIMAL_DIGITS = /^\d+$/;
 
 /** Keeps the latest era that one store has reported. */
-export class StoreEras {
+export class StoreEraTracker {
   #latest = 0;
 
   /** The latest era of any response; 0 while the store has reported none. */
@@ -17,7 +17,7 @@
   }
 
   /** Records a response's era header and returns the response's era: the latest known one if it has no valid header. */
-  note(header: string | string[] | undefined): number {
+  recordHeader(header: string | string[] | undefined): number {
     const isReported = typeof header === 'string' && DECIMAL_DIGITS.test(header);
     const era = isReported ? Number(header) : this.#latest;
     this.#latest = Math.max(this.#latest, era);
@@ -25,7 +25,7 @@
   }
 
   /** True when the store has been restored from an older copy since a revision. */
-  isOver(revision: Revision): boolean {
+  isOfEarlierEra(revision: Revision): boolean {
     return eraOf(revision) < this.#latest;
   }
 }
--- a/packages/entry/src/configuration/configuration-holder.ts
+++ b/packages/entry/src/configuration/configuration-holder.ts
@@ -50,12 +50,12 @@
   }
 
   /** True while the configuration is confirmed recently enough to accept the keys in it. */
-  keysHold({ keyRevocationMs, keysFailClosed }: KeyBounds): boolean {
+  areKeysConfirmed({ keyRevocationMs, keysFailClosed }: KeyBounds): boolean {
     return !keysFailClosed || this.confirmationAgeMs < keyRevocationMs - KEY_MARGIN_MS;
   }
 
   /** Applies the configuration from a list of all objects. */
-  takeList(list: ObjectList): void {
+  applyList(list: ObjectList): void {
     const object = list.objects.find(candidate => candidate.name === this.#options.objectName);
     if (object !== undefined) {
       this.#apply(object);
@@ -63,7 +63,7 @@
   }
 
   /** Applies the changes to the configuration, in the order in which they were made. */
-  takeChanges(changes: readonly ObjectChange[]): void {
+  applyChanges(changes: readonly ObjectChange[]): void {
     for (const { object, deleted } of changes) {
       if (!deleted && object.name === this.#options.objectName) {
         this.#apply(object);
@@ -80,7 +80,7 @@
    * Compares two states of the configuration's object for `WatchedKind`: true if the listed one has at least the version
    * of the known one; undefined for other objects or if either cannot be read.
    */
-  readonly isLater: StateOrder = (listed, known) => {
+  readonly isAtLeastAsNew: StateOrder = (listed, known) => {
     if (listed.name !== this.#options.objectName) {
       return undefined;
     }
--- a/packages/entry/src/entry-host-options.ts
+++ b/packages/entry/src/entry-host-options.ts
@@ -1,7 +1,7 @@
 /** Options of an entry host. */
 import type { ConfigurationReader } from './configuration/configuration-holder.js';
 import type { HostOrders } from './groups/host-orders.js';
-import type { HostReader } from './hosts/host-registry.js';
+import type { HostParser } from './hosts/host-registry.js';
 import type { RelayHeaders } from './requests/relay-headers.js';
 import type { EntrySettings } from './server/entry-settings.js';
 import type { Log } from './server/log.js';
@@ -17,6 +17,6 @@
   /** Name of the store object that holds the configuration. */
   readonly configurationName: string;
   /** Reads the entry of a host from a store object. */
-  readonly readHost: HostReader;
+  readonly readHost: HostParser;
   readonly log: Log;
 };
--- a/packages/entry/src/entry-host.ts
+++ b/packages/entry/src/entry-host.ts
@@ -4,9 +4,9 @@
 
 import { ConfigurationHolder } from './configuration/configuration-holder.js';
 import type { EntryHostOptions } from './entry-host-options.js';
-import { Coordinator } from './groups/coordinator.js';
+import { AbandonedGroups } from './groups/abandoned-groups.js';
+import { GroupCoordinator } from './groups/group-coordinator.js';
 import { GroupSuspicions } from './groups/group-suspicions.js';
-import { LackingGroups } from './groups/lacking-groups.js';
 import type { ReplicaGroup } from './groups/replica-groups.js';
 import type { HostIncarnation } from './hosts/host-entry.js';
 import { isRoutable } from './hosts/host-entry.js';
@@ -17,7 +17,7 @@
 import { probeHost } from './quarantine/host-probe.js';
 import { RequestQuarantine } from './quarantine/request-quarantine.js';
 import { noticeListener } from './requests/notice-listener.js';
-import { PacedWaits } from './requests/paced-waits.js';
+import { PacedQueues } from './requests/paced-queues.js';
 import type { RelayServices } from './requests/relay-services.js';
 import { RequestIntake } from './requests/request-intake.js';
 import { ServiceLimits } from './requests/service-limits.js';
@@ -25,7 +25,7 @@
 import { DemandMeter } from './routing/demand-meter.js';
 import { HostActivities } from './routing/host-activity.js';
 import type { OutlierVerdict } from './routing/outlier-reports.js';
-import { liveRetryBounds } from './routing/retry-budget.js';
+import { retryBoundsFromSettings } from './routing/retry-budget.js';
 import { SendRules } from './routing/send-rules.js';
 import { SubsetChoice } from './routing/subset-choice.js';
 import type { Target } from './routing/target-chooser.js';
@@ -33,14 +33,14 @@
 import { CallerServer } from './server/caller-server.js';
 import { respondToLeaps } from './server/clock-leaps.js';
 import type { EntrySettings } from './server/entry-settings.js';
-import { newMetrics } from './server/metrics.js';
+import { createMetrics } from './server/metrics.js';
 import { finishRequests } from './server/planned-stop.js';
 import { runTask } from './server/run-task.js';
 import { changedSettings } from './server/settings-change.js';
 import { startSideServers } from './server/side-servers.js';
 import { monotonicMs } from './server/time.js';
-import { FollowedKinds, onlyReader } from './store/followed-kinds.js';
-import { configurationObserver, hostsObserver, knowledgeOf } from './store/kind-observers.js';
+import { FollowedKinds, singleReader } from './store/followed-kinds.js';
+import { configurationObserver, hostsObserver, knownStateAtSend } from './store/kind-observers.js';
 import { storeReader } from './store/kind-reader.js';
 import { OBJECT_KINDS } from './store/object-store.js';
 
@@ -49,17 +49,17 @@
   readonly #options: EntryHostOptions;
   readonly #instance: string;
   #settings: EntrySettings;
-  readonly #metrics = newMetrics();
+  readonly #metrics = createMetrics();
   readonly #counters = this.#metrics.counters;
   readonly #configuration: ConfigurationHolder;
   readonly #registry: HostRegistry;
   readonly #activities = new HostActivities();
   readonly #stalls = new StallMonitor();
-  readonly #lacking = new LackingGroups({
+  readonly #lacking = new AbandonedGroups({
     groups: () => this.#allGroups(),
     entryOf: id => this.#registry.get(id),
   });
-  readonly #demand = new DemandMeter(key => this.#peers?.tally.work.ofOthers(key) ?? 0);
+  readonly #demand = new DemandMeter(key => this.#peers?.tally.work.sumOfOthers(key) ?? 0);
   readonly #rules: SendRules;
   readonly #chooser: TargetChooser;
   readonly #lease: LeaseTask;
@@ -69,7 +69,7 @@
     counters: this.#counters,
   });
   readonly #quarantine: RequestQuarantine;
-  readonly #coordinator: Coordinator;
+  readonly #coordinator: GroupCoordinator;
   readonly #limits: ServiceLimits;
   readonly #intake: RequestIntake;
   readonly #callers: CallerServer;
@@ -95,18 +95,18 @@
     this.#rules = new SendRules({
       settings: () => this.#settings,
       members: settings.peers && (() => this.#peers?.membership.view),
-      leaves: host => {
+      onHostLeaving: host => {
         this.#handleLeavingHost(host);
       },
-      limitsReported: () => this.#peers?.shareLimits(),
-      leavingReported: () => this.#peers?.shareLeaving(),
+      onLimitReport: () => this.#peers?.shareLimits(),
+      onLeavingReport: () => this.#peers?.shareLeavingHosts(),
       slowStartOf: service => this.#configuration.table?.service(service)?.slowStart,
       log,
       metrics: this.#metrics,
     });
     const onBatch = (batch: HostBatch): void => {
-      this.#rules.slowStart.batchTaken(batch);
-      this.#activities.departed(batch.departed);
+      this.#rules.slowStart.applyBatch(batch);
+      this.#activities.clearRemoved(batch.departed);
     };
     this.#registry = new HostRegistry(options.readHost, log, onBatch, this.#counters);
     options.orders.onAnswer(noticeListener(options.headers, this.#rules));
@@ -115,7 +115,7 @@
       host: settings.name,
       instance: this.#instance,
       timing: DEFAULT_LEASE_TIMING,
-      eligible: () => this.#peers?.mayLead ?? true,
+      eligible: () => this.#peers?.isLeaseCandidate ?? true,
       log,
     });
     this.#quarantine = this.#createQuarantine();
@@ -123,15 +123,15 @@
     this.#watches = this.#createWatches();
     this.#coordinator = this.#createCoordinator();
     this.#limits = new ServiceLimits({
-      retries: liveRetryBounds(() => this.#settings.bounds),
-      hosts: () => this.#peers?.membership.count,
+      retries: retryBoundsFromSettings(() => this.#settings.bounds),
+      entryHosts: () => this.#peers?.membership.count,
       log,
       counters: this.#counters,
     });
     this.#chooser = new TargetChooser(this.#registry, this.#activities, {
       failureDomain: settings.failureDomain,
-      ...this.#rules.choice,
-      othersAt: hostId => this.#peers?.tally.loads.ofOthers(hostId) ?? 0,
+      ...this.#rules.choiceFacts,
+      peerRequestsAt: hostId => this.#peers?.tally.loads.sumOfOthers(hostId) ?? 0,
       lacksMember: group => this.#lacksMember(group),
       outlier: (target, now) => this.#outlier(target, now),
       subsets: new SubsetChoice({
@@ -149,7 +149,7 @@
 
   /** True while this host accepts new callers. */
   get ready(): boolean {
-    const hostsAndEvacuationsKnown = this.#hostsKnown && this.#rules.evacuated.isKnown;
+    const hostsAndEvacuationsKnown = this.#hostsKnown && this.#rules.evacuatedDomains.isKnown;
     return !this.#stopping && this.#configuration.table !== undefined && hostsAndEvacuationsKnown;
   }
 
@@ -203,7 +203,7 @@
     this.#stopping = true;
     this.#ignoreLeaps?.();
     this.#coordinator.stop();
-    this.#lease.abandon();
+    this.#lease.stopWithoutRelease();
     this.#callers.close();
     this.#quarantine.stop();
     this.#watches.stop();
@@ -216,23 +216,23 @@
 
   #createQuarantine(): RequestQuarantine {
     const { store, log } = this.#options;
-    const { connects } = this.#activities;
+    const { connectTimes: connects } = this.#activities;
     return new RequestQuarantine({
       store,
       holdsLease: () => this.#lease.term !== undefined,
-      probe: host => probeHost(host, connects.limitMs(host.failureDomain)),
-      isExpected: ({ id }) => this.#registry.get(id)?.accepting ?? false,
-      progressedAt: id => this.#activities.of(id).lastProgressAt,
+      probe: host => probeHost(host, connects.timeoutMs(host.failureDomain)),
+      isAccepting: ({ id }) => this.#registry.get(id)?.accepting ?? false,
+      lastProgressAt: id => this.#activities.of(id).lastProgressAt,
       hostEnded: host => {
         this.#suspicions.suspect(host, host.membership?.group, true);
       },
-      hostEndedAnywhere: ended => {
+      hostEndReported: ended => {
         const host = this.#registry.get(ended.id);
         if (host?.startedAt === ended.startedAt) {
-          this.#activities.noteEnded(ended.id);
+          this.#activities.noteProcessEnded(ended.id);
         }
       },
-      reported: () => this.#peers?.shareRunReports(),
+      reportsAdded: () => this.#peers?.shareRunReports(),
       log,
       metrics: this.#metrics,
     });
@@ -252,46 +252,46 @@
       store,
       watchOf: kind => this.#watches.of(kind),
       ownLoads: () => this.#activities.loads(),
-      ownWork: () => this.#demand.counts(),
-      orderGiver: () => (this.#lease.term === undefined ? this.#lease.holderHost : name),
-      suspected: ({ service, report }) => {
+      ownWork: () => this.#demand.ownSums(),
+      leaseHolder: () => (this.#lease.term === undefined ? this.#lease.holderHost : name),
+      suspicionReceived: ({ service, report }) => {
         this.#coordinator.suspect(service, report.target);
       },
-      unreachable: (failureDomain, hostId) => {
+      hostUnreachable: (failureDomain, hostId) => {
         this.#activities.reach.noteUnreachable(failureDomain, hostId);
       },
       isRoutable: id => isRoutable(this.#registry.get(id)),
       lackingGroups: () => [...this.#lacking.names],
-      ejected: () => {
-        this.#stalls.lookSoon();
+      groupEjected: () => {
+        this.#stalls.checkSoon();
       },
       runReports: this.#quarantine.evidence,
-      runReportsHeard: reports => {
-        this.#quarantine.take(reports);
+      runReportsReceived: reports => {
+        this.#quarantine.addReports(reports);
       },
       limitReports: this.#rules.namedLimits,
-      limitReportsHeard: this.#rules.namedLimits.take,
+      limitReportsReceived: this.#rules.namedLimits.receiveReports,
       leavingHosts: this.#rules.notices,
-      leavingHeard: this.#rules.notices.takeLeaving,
+      leavingHostsReceived: this.#rules.notices.receiveLeaving,
       instance: this.#instance,
       log,
       counters: this.#counters,
     });
   }
 
-  #createCoordinator(): Coordinator {
+  #createCoordinator(): GroupCoordinator {
     const { orders, log, settings } = this.#options;
-    return new Coordinator({
+    return new GroupCoordinator({
       orders,
       registry: this.#registry,
       lease: this.#lease,
       isReady: () => this.ready && this.#followsAllHosts,
       profileOf: service =>
         this.#demand.profileOf(service, this.#configuration.table?.service(service)?.engine),
-      inTouchForMs: () => this.#watches.of(OBJECT_KINDS.hosts)?.inTouchForMs,
+      watchedForMs: () => this.#watches.of(OBJECT_KINDS.hosts)?.freshForMs,
       loadWindowMs: settings.bounds.loadWindowMs,
       mayLoadFreely: service => this.#intake.total === 0 && !this.#demand.hasRequests(service),
-      isEvacuated: this.#rules.evacuated.isEvacuated,
+      isEvacuated: this.#rules.evacuatedDomains.isEvacuated,
       coldMsOf: service => this.#configuration.table?.service(service)?.slowStart?.coldMs ?? 0,
       log,
       counters: this.#counters,
@@ -301,7 +301,7 @@
   #createWatches(): FollowedKinds {
     const members = this.#peers?.membership.observer;
     return new FollowedKinds({
-      readers: this.#peers?.readers ?? onlyReader(storeReader(this.#options.store)),
+      readers: this.#peers?.readers ?? singleReader(storeReader(this.#options.store)),
       observers: {
         [OBJECT_KINDS.configuration]: configurationObserver(this.#configuration, () => {
           this.#applyConfiguration();
@@ -313,20 +313,20 @@
         [OBJECT_KINDS.quarantine]: this.#quarantine.observer,
         ...(this.#settings.bounds.evacuationMs === undefined
           ? {}
-          : { [OBJECT_KINDS.evacuations]: this.#rules.evacuated.observer }),
+          : { [OBJECT_KINDS.evacuations]: this.#rules.evacuatedDomains.observer }),
       },
       followsStore: () => this.#peers?.followsStore ?? true,
       hostsView: () => this.#peers?.hostsView ?? 'full',
       firstReader: () => this.#peers?.firstReader,
-      peersKnown: () => this.#peers?.membership.known() ?? Promise.resolve(),
-      givesOrders: () => this.#lease.term !== undefined,
+      whenPeersKnown: () => this.#peers?.membership.waitForFirstList() ?? Promise.resolve(),
+      holdsLease: () => this.#lease.term !== undefined,
       log: this.#options.log,
       metrics: this.#metrics,
     });
   }
 
   async #competeForLease(): Promise<void> {
-    await this.#peers?.membership.known();
+    await this.#peers?.membership.waitForFirstList();
     await this.#lease.run();
   }
 
@@ -336,13 +336,13 @@
       return;
     }
     this.#callers.applyLimits(table.limits);
-    this.#coordinator.follow(table.services);
+    this.#coordinator.manageServices(table.services);
   }
 
   // On suspicion the lease holder queries the members itself and receives the same notice, so it forms the group
   // again without the leaving host before that host's entry in the store shows that it leaves.
   #handleLeavingHost(host: HostIncarnation): void {
-    this.#registry.noteLeaving(host);
+    this.#registry.recordShutdown(host);
     const entry = this.#registry.get(host.id);
     if (entry !== undefined) {
       this.#suspicions.suspect(entry, entry.membership?.group, false);
@@ -355,7 +355,7 @@
   }
 
   #lacksMember(group: ReplicaGroup): boolean {
-    const names = this.#followsAllHosts ? this.#lacking.names : this.#peers?.toldLacking;
+    const names = this.#followsAllHosts ? this.#lacking.names : this.#peers?.reportedLackingGroups;
     return names?.has(group.name) ?? false;
   }
 
@@ -377,7 +377,7 @@
       registry: this.#registry,
       chooser: this.#chooser,
       eligibility: this.#rules.eligibility,
-      pacedWaits: new PacedWaits(),
+      pacedQueues: new PacedQueues(),
       quarantine: this.#quarantine,
       activities: this.#activities,
       notices: this.#rules.notices,
@@ -386,12 +386,12 @@
       stalls: this.#stalls,
       budgetOf: service => this.#limits.budgetOf(service),
       connectionsOf: service => this.#limits.connectionsOf(service),
-      suspect: ({ host, group }, isUnreachable) => {
+      reportSuspectedTarget: ({ host, group }, isUnreachable) => {
         this.#suspicions.suspect(host, group?.name, isUnreachable);
       },
       isUnreachable: target => this.#outlier(target, monotonicMs())?.isUnreachable ?? false,
-      keysHold: () => this.#configuration.keysHold(this.#settings.bounds),
-      knowledge: () => knowledgeOf(this.#configuration, this.#watches),
+      areKeysValid: () => this.#configuration.areKeysConfirmed(this.#settings.bounds),
+      storeFreshness: () => knownStateAtSend(this.#configuration, this.#watches),
       log,
       counters: this.#counters,
       latencies: this.#metrics.latencies,
--- a/packages/entry/src/evacuation/evacuated-domains.test.ts
+++ b/packages/entry/src/evacuation/evacuated-domains.test.ts
@@ -27,7 +27,7 @@
     ended = [];
     gauges = new Gauges();
     domains = new EvacuatedDomains({
-      isFollowed: true,
+      isWatched: true,
       ended: domain => ended.push(domain),
       gauges,
       log: silentLog(),
@@ -42,7 +42,7 @@
     domains.observer.listed({ objects: [], revision: 1 });
     expect(domains.isKnown).to.equal(true);
     const unwatched = new EvacuatedDomains({
-      isFollowed: false,
+      isWatched: false,
       ended: () => undefined,
       gauges,
       log: silentLog(),
--- a/packages/entry/src/evacuation/evacuated-domains.ts
+++ b/packages/entry/src/evacuation/evacuated-domains.ts
@@ -26,7 +26,7 @@
 /** Options of {@link EvacuatedDomains}. */
 export type EvacuatedDomainsOptions = {
   /** False if the settings have no bound for evacuations: then no evacuation is ever in force. */
-  readonly isFollowed: boolean;
+  readonly isWatched: boolean;
   /** Called when an evacuation has ended, as of a store revision; hosts of the failure domain may be cold. */
   readonly ended: (failureDomain: string, revision: number) => void;
   readonly gauges: Gauges;
@@ -43,14 +43,14 @@
 
   constructor(options: EvacuatedDomainsOptions) {
     this.#options = options;
-    this.#isKnown = !options.isFollowed;
-    options.gauges.follow('evacuation_age_seconds', () =>
+    this.#isKnown = !options.isWatched;
+    options.gauges.register('evacuation_age_seconds', () =>
       this.all.map(({ failureDomain, since }) => ({
         labels: { failure_domain: failureDomain },
         value: Math.round((monotonicMs() - since) / MS_PER_S),
       })),
     );
-    options.gauges.follow('evacuations_known', () => [
+    options.gauges.register('evacuations_known', () => [
       { labels: {}, value: this.#isKnown ? 1 : 0 },
     ]);
   }
--- a/packages/entry/src/groups/lacking-groups.test.ts
+++ b/packages/entry/src/groups/abandoned-groups.test.ts
@@ -6,8 +6,8 @@
 
 import type { HostEntry } from '../hosts/host-entry.js';
 import { testHost } from '../testing/groups.js';
-import { LackingGroups } from './lacking-groups.js';
-import { replicaGroups } from './replica-groups.js';
+import { AbandonedGroups } from './abandoned-groups.js';
+import { collectReplicaGroups } from './replica-groups.js';
 
 function member(id: string, rank: number, group = 'g'): HostEntry {
   return testHost(id, { membership: { group, epoch: 1, rank, state: 'open' } });
@@ -16,9 +16,9 @@
 describe('lacking groups', () => {
   let now = 0;
   let hosts: HostEntry[];
-  const lackingGroups = (): LackingGroups =>
-    new LackingGroups({
-      groups: () => replicaGroups(hosts),
+  const lackingGroups = (): AbandonedGroups =>
+    new AbandonedGroups({
+      groups: () => collectReplicaGroups(hosts),
       entryOf: id => hosts.find(host => host.id === id),
       now: () => now,
     });
--- a/packages/entry/src/groups/lacking-groups.ts
+++ b/packages/entry/src/groups/abandoned-groups.ts
@@ -13,8 +13,8 @@
 /** How long a result is cached, in milliseconds: hundreds of peers ask for it each second. */
 const MAX_AGE_MS = 100;
 
-/** Sources of groups and entries for {@link LackingGroups}. */
-export type LackingGroupsOptions = {
+/** Sources of groups and entries for {@link AbandonedGroups}. */
+export type AbandonedGroupsOptions = {
   /** Groups of all services, as reported by their members. */
   readonly groups: () => readonly ReplicaGroup[];
   /** The entry of a host; undefined when it has none. */
@@ -24,14 +24,14 @@
 };
 
 /** Detects groups that a member has left. Remembers earlier members, since entries only name the current group. */
-export class LackingGroups {
-  readonly #options: LackingGroupsOptions;
+export class AbandonedGroups {
+  readonly #options: AbandonedGroupsOptions;
   /** Host ids by group and rank. */
   #members = new Map<string, Map<number, string>>();
   #names: ReadonlySet<string> = new Set();
   #computedAt = -Infinity;
 
-  constructor(options: LackingGroupsOptions) {
+  constructor(options: AbandonedGroupsOptions) {
     this.#options = options;
   }
 
--- a/packages/entry/src/groups/fleet-picture.test.ts
+++ b/packages/entry/src/groups/build-fleet-view.test.ts
@@ -2,11 +2,11 @@
 
 import type { EngineProfile } from '../configuration/serving-configuration.js';
 import type { HostEntry, MembershipState } from '../hosts/host-entry.js';
-import { testBeliefs, testHost } from '../testing/groups.js';
-import { fleetViewOf } from './fleet-picture.js';
+import { testHost, testKnownState } from '../testing/groups.js';
+import { buildFleetView } from './build-fleet-view.js';
 import type { FleetDomain, FleetView } from './fleet-view.js';
-import type { GroupBeliefs } from './group-beliefs.js';
-import { replicaGroups } from './replica-groups.js';
+import type { KnownGroupState } from './known-group-state.js';
+import { collectReplicaGroups } from './replica-groups.js';
 
 const PROFILE: EngineProfile = {
   models: [{ name: 'm', size: 2, pace: 1, workShare: 1, loadMs: 1, warmMs: 1 }],
@@ -20,8 +20,8 @@
   return testHost(id, { membership: { group: 'g', epoch: 1, rank, state } });
 }
 
-function domainOf(hosts: readonly HostEntry[], change: Partial<GroupBeliefs> = {}): FleetDomain {
-  const view = fleetViewOf(hosts, replicaGroups(hosts), PROFILE, testBeliefs(change));
+function domainOf(hosts: readonly HostEntry[], change: Partial<KnownGroupState> = {}): FleetDomain {
+  const view = buildFleetView(hosts, collectReplicaGroups(hosts), PROFILE, testKnownState(change));
   const [domain] = view.domains;
   if (domain === undefined) {
     throw new Error('no fabric domain');
@@ -43,12 +43,12 @@
   });
 
   it('leaves out a group whose head does not answer', () => {
-    expect(domainOf(open, { silent: new Map([['h', 0]]) }).groups).to.deep.equal([]);
+    expect(domainOf(open, { unresponsiveHosts: new Map([['h', 0]]) }).groups).to.deep.equal([]);
   });
 
   it('does not allow a group with a silent member to be dissolved', () => {
     const silent = new Map([['x', 0]]);
-    expect(domainOf(open, { silent }).groups[0]?.dissolvable).to.equal(false);
+    expect(domainOf(open, { unresponsiveHosts: silent }).groups[0]?.dissolvable).to.equal(false);
   });
 
   it('reserves the free hosts of a domain while one of its groups is being dissolved', () => {
@@ -61,8 +61,8 @@
     const other = testHost('other', { failureDomain: 'b', fabricDomain: 'd1' });
     const hosts = [...open, other];
     const viewOf = (...evacuated: string[]): FleetView => {
-      const known = testBeliefs({ evacuatedDomains: new Set(evacuated) });
-      return fleetViewOf(hosts, replicaGroups(hosts), PROFILE, known);
+      const known = testKnownState({ evacuatedDomains: new Set(evacuated) });
+      return buildFleetView(hosts, collectReplicaGroups(hosts), PROFILE, known);
     };
     const view = viewOf('a');
     expect(view.domains.flatMap(freeIdsOf)).to.deep.equal(['other']);
--- a/packages/entry/src/groups/fleet-picture.ts
+++ b/packages/entry/src/groups/build-fleet-view.ts
@@ -3,9 +3,9 @@
 import type { HostEntry } from '../hosts/host-entry.js';
 import { fabricDomainOf } from './fabric-domain.js';
 import type { FleetView, PlacedGroup } from './fleet-view.js';
-import { dividedByUse } from './fleet-view.js';
-import { awaitedHosts, isFree, isReleased } from './free-hosts.js';
-import type { GroupBeliefs } from './group-beliefs.js';
+import { splitByEvacuation } from './fleet-view.js';
+import { hasHeadLeft, hostsBeingFormed, isFree } from './free-hosts.js';
+import type { KnownGroupState } from './known-group-state.js';
 import type { ReplicaGroup } from './replica-groups.js';
 import { headState } from './replica-groups.js';
 
@@ -18,11 +18,11 @@
 };
 
 /** Builds the planning view of one service. */
-export function fleetViewOf(
+export function buildFleetView(
   hosts: readonly HostEntry[],
   groups: readonly ReplicaGroup[],
   profile: EngineProfile,
-  known: GroupBeliefs,
+  known: KnownGroupState,
 ): FleetView {
   const domains = new Map<string, MutableDomain>();
   const reservedDomains = new Set<string>();
@@ -42,7 +42,7 @@
       reservedDomains.add(fabricDomainOf(anyMember));
     }
   }
-  const inFormation = awaitedHosts(known);
+  const inFormation = hostsBeingFormed(known);
   for (const host of hosts) {
     const domain = mutableDomainOf(domains, host);
     // Free hosts are reserved until the hosts of a group that is being dissolved in their domain can join them.
@@ -53,11 +53,11 @@
   const stagingNow = (id: string): string | undefined => known.stagings.get(id)?.model;
   return {
     profile,
-    ...dividedByUse([...domains.values()], known.evacuatedDomains),
+    ...splitByEvacuation([...domains.values()], known.evacuatedDomains),
     isReturning: known.isReturning,
-    lapsed: known.lapsedDomains,
-    stagingNow,
-    slow: known.slow,
+    lapsedDomains: known.lapsedDomains,
+    stagingModelOf: stagingNow,
+    slowHosts: known.slowHosts,
   };
 }
 
@@ -73,26 +73,27 @@
 
 // Returns undefined for a group that does not count because its head is missing, does not answer, or has left, and
 // for a group that is still being formed: formingGroups returns those.
-function placedGroup(group: ReplicaGroup, known: GroupBeliefs): PlacedGroup | undefined {
+function placedGroup(group: ReplicaGroup, known: KnownGroupState): PlacedGroup | undefined {
   const { name, model, head } = group;
   if (head === undefined || model === undefined || known.formations.has(name)) {
     return undefined;
   }
-  const isEnding = isReleased(name, known) || known.dissolving.has(name);
-  if (isEnding || known.silent.has(head.id)) {
+  const isEnding = hasHeadLeft(name, known) || known.dissolving.has(name);
+  if (isEnding || known.unresponsiveHosts.has(head.id)) {
     return undefined;
   }
   const members = group.members.filter(member => member !== undefined);
   const isUsable = (host: HostEntry): boolean =>
-    host.accepting && !known.silent.has(host.id) && !known.busy.has(host.id);
+    host.accepting && !known.unresponsiveHosts.has(host.id) && !known.busyHosts.has(host.id);
   const isComplete = members.length === group.members.length && members.every(isUsable);
-  const dissolvable = isComplete && headState(group) === 'open' && !known.justBack.has(head.id);
+  const dissolvable =
+    isComplete && headState(group) === 'open' && !known.recoveredHosts.has(head.id);
   return { name, model, members, dissolvable };
 }
 
 // The groups that are being formed, with those members that have an entry.
 function formingGroups(
-  { formations }: GroupBeliefs,
+  { formations }: KnownGroupState,
   hosts: readonly HostEntry[],
 ): readonly PlacedGroup[] {
   const indexOf = new Map(hosts.map(({ id }, index) => [id, index]));
--- a/packages/entry/src/groups/capacity-log.ts
+++ b/packages/entry/src/groups/capacity-log.ts
@@ -5,7 +5,7 @@
 import { headState } from './replica-groups.js';
 
 /** Capacity changes in progress; the fields are logged under their own names. */
-export type CapacityComing = {
+export type CapacityInProgress = {
   /** Number of groups that are being formed. */
   readonly forming: number;
   /** Number of hosts that are staging a model. */
@@ -22,7 +22,11 @@
   }
 
   /** Logs the numbers of open groups per model outside evacuated failure domains when one of them has changed. */
-  note(groups: readonly ReplicaGroup[], fleet: FleetView, inProgress: CapacityComing): void {
+  logIfChanged(
+    groups: readonly ReplicaGroup[],
+    fleet: FleetView,
+    inProgress: CapacityInProgress,
+  ): void {
     const { profile, domains, evacuated } = fleet;
     const evacuatedDomains = new Set(evacuated.map(domain => domain.failureDomain));
     const open = groups.filter(group => headState(group) === 'open');
--- a/packages/entry/src/groups/capacity-value.ts
+++ b/packages/entry/src/groups/capacity-value.ts
@@ -37,9 +37,9 @@
   /** `failureDomains` is the number of failure domains with hosts. */
   constructor(models: readonly GroupModel[], failureDomains: number) {
     this.#failureDomains = Math.max(1, failureDomains);
-    const total = models.reduce((sum, model) => sum + engineTimeOf(model), 0);
+    const totalCost = models.reduce((sum, model) => sum + engineTimeOf(model), 0);
     for (const model of models) {
-      const share = total > 0 ? engineTimeOf(model) / total : 1 / models.length;
+      const share = totalCost > 0 ? engineTimeOf(model) / totalCost : 1 / models.length;
       this.#workShares.set(model.name, Math.max(MIN_WORK_SHARE, share));
     }
   }
--- a/packages/entry/src/groups/rearrangement-plan.ts
+++ b/packages/entry/src/groups/dissolution-plan.ts
@@ -9,8 +9,8 @@
 import type { CapacityValue } from './capacity-value.js';
 import { UNSERVED_COST } from './capacity-value.js';
 import type { FleetDomain, FleetView, PlacedGroup } from './fleet-view.js';
-import { failureDomainsOf, valueOf, warmMsOf } from './fleet-view.js';
-import { fillDomains, NO_LOADS } from './formation-plan.js';
+import { capacityValueOf, failureDomainsOf, joinMsWithoutLoad } from './fleet-view.js';
+import { NO_LOADS, planFormationsIn } from './formation-plan.js';
 
 /**
  * Fraction by which the cost has to fall for each dissolved group, 0 to 1: a dissolution interrupts the group's
@@ -34,8 +34,8 @@
 /** The dissolution that lowers the cost most; undefined when none lowers it enough. */
 export function planDissolution(view: FleetView): PlannedDissolution | undefined {
   const failureDomains = failureDomainsOf(view.domains);
-  const value = valueOf(view);
-  const formed = fillDomains(view, view.domains, value, NO_LOADS);
+  const value = capacityValueOf(view);
+  const formed = planFormationsIn(view, view.domains, value, NO_LOADS);
   const costBefore = value.total(failureDomains);
   let lowestCost = costBefore;
   let best: PlannedDissolution | undefined;
@@ -80,7 +80,12 @@
   replaced.forEach(model => {
     value.add(model, failureDomain, -1);
   });
-  const formed = fillDomains(view, [domainAfterDissolving(domain, dissolved)], value, NO_LOADS);
+  const formed = planFormationsIn(
+    view,
+    [domainAfterDissolving(domain, dissolved)],
+    value,
+    NO_LOADS,
+  );
   const cost = value.total(failureDomainsOf(view.domains));
   formed.forEach(({ model }) => {
     value.add(model.name, failureDomain, -1);
@@ -120,7 +125,7 @@
   view: FleetView,
 ): readonly PlacedGroup[] {
   const readyOf = (hosts: readonly HostEntry[]): number =>
-    hosts.filter(host => warmMsOf(host, model, view) !== undefined).length;
+    hosts.filter(host => joinMsWithoutLoad(host, model, view) !== undefined).length;
   const readyFraction = ({ members }: PlacedGroup): number => readyOf(members) / members.length;
   const others = domain.groups
     .filter(group => group.dissolvable && group.model !== model.name && readyFraction(group) > 0)
--- a/packages/entry/src/groups/evacuated-plan.ts
+++ b/packages/entry/src/groups/evacuated-domain-plan.ts
@@ -6,9 +6,9 @@
  * another. Loads go to the domains in use first.
  */
 import type { FleetView } from './fleet-view.js';
-import { valueOf, wholeFleetOf } from './fleet-view.js';
+import { capacityValueOf, withEvacuatedDomains } from './fleet-view.js';
 import type { FormationLoads, PlannedFormation } from './formation-plan.js';
-import { fillDomains } from './formation-plan.js';
+import { planFormationsIn } from './formation-plan.js';
 import type { PlannedStaging } from './staging-plan.js';
 import { planCompletions } from './staging-plan.js';
 
@@ -19,22 +19,25 @@
 const EVACUATED_LOAD_FRACTION = 0.5;
 
 /** Plans groups of the free hosts of evacuated failure domains. */
-export function planIdleFormations(
+export function planEvacuatedFormations(
   view: FleetView,
   loads: FormationLoads,
 ): readonly PlannedFormation[] {
   if (view.evacuated.length === 0) {
     return [];
   }
-  const allDomains = wholeFleetOf(view);
-  return fillDomains(allDomains, view.evacuated, valueOf(allDomains), loads);
+  const allDomains = withEvacuatedDomains(view);
+  return planFormationsIn(allDomains, view.evacuated, capacityValueOf(allDomains), loads);
 }
 
 /** Plans stagings that complete groups there; `loadsLeft` is the number of loads left over by the domains in use. */
-export function planIdleStagings(view: FleetView, loadsLeft: number): readonly PlannedStaging[] {
+export function planEvacuatedStagings(
+  view: FleetView,
+  loadsLeft: number,
+): readonly PlannedStaging[] {
   if (view.evacuated.length === 0) {
     return [];
   }
   const loads = Math.floor(loadsLeft * EVACUATED_LOAD_FRACTION);
-  return planCompletions(wholeFleetOf(view), view.evacuated, loads);
+  return planCompletions(withEvacuatedDomains(view), view.evacuated, loads);
 }
--- a/packages/entry/src/groups/evacuation-days.test.ts
+++ b/packages/entry/src/groups/evacuation-days.test.ts
@@ -5,9 +5,9 @@
 import { expect } from 'chai';
 import fc from 'fast-check';
 
-import { dayProfile, wideFleet } from '../testing/day-fleets.js';
 import { FleetModel } from '../testing/fleet-model.js';
-import { FREE_LOADS } from './formation-plan.js';
+import { nineDomainFleet, twoModelProfile } from '../testing/two-model-fleets.js';
+import { UNLIMITED_LOADS } from './formation-plan.js';
 
 const WIDE_FLEETS = [
   { domainSize: 18, largeSize: 8, smallSize: 2, largeShare: 0.15 },
@@ -35,12 +35,12 @@
     domainSizes: Array.from({ length: 3 * perFailureDomain }, () => domainSize),
     domainsPerFailureDomain: perFailureDomain,
     coldMs: COLD_MS,
-    profile: dayProfile(models.largeSize, models.smallSize, models.largeShare),
+    profile: twoModelProfile(models.largeSize, models.smallSize, models.largeShare),
   });
 }
 
 function startFleet(fleet: FleetModel): FleetModel {
-  fleet.run(6_000, FREE_LOADS);
+  fleet.run(6_000, UNLIMITED_LOADS);
   fleet.run(6_000);
   return fleet;
 }
@@ -48,7 +48,7 @@
 /** A fleet of three failure domains with eight hosts each that forms a single group of the large model. */
 function fleetWithOneLargeGroup(): FleetModel {
   const domains = { domainSizes: [8, 8, 8], domainsPerFailureDomain: 1 };
-  const profile = dayProfile(8, 2, 0.05);
+  const profile = twoModelProfile(8, 2, 0.05);
   return startFleet(new FleetModel({ ...domains, coldMs: COLD_MS, profile }));
 }
 
@@ -74,24 +74,24 @@
 
   it('keep the groups of the evacuated domain, so that they serve at once when it returns', () => {
     for (const kind of WIDE_FLEETS) {
-      const fleet = startFleet(wideFleet(kind));
+      const fleet = startFleet(nineDomainFleet(kind));
       const before = [fleet.serving('large'), fleet.serving('small')];
       const kept = fleet.groupsIn('z2');
       fleet.evacuate('z2');
       expect(fleet.serving('large')).to.be.lessThan(before[0] ?? 0);
       fleet.run(EVACUATION_MS);
       expect(fleet.groupsIn('z2')).to.deep.equal(kept);
-      fleet.takeBack('z2');
+      fleet.endEvacuation('z2');
       expect([fleet.serving('large'), fleet.serving('small')]).to.deep.equal(before);
     }
   });
 
   it('do not dissolve groups of the other domains during an evacuation of 8 s', () => {
     for (const kind of WIDE_FLEETS) {
-      const fleet = startFleet(wideFleet(kind));
+      const fleet = startFleet(nineDomainFleet(kind));
       fleet.evacuate('z1');
       fleet.run(EVACUATION_MS);
-      fleet.takeBack('z1');
+      fleet.endEvacuation('z1');
       fleet.run(EVACUATION_MS);
       expect(fleet.dissolved.length, JSON.stringify(kind)).to.equal(0);
     }
@@ -105,14 +105,14 @@
         const evacuatedGroups = fleet.groupsIn('z0');
         fleet.run(EVACUATION_MS);
         sample.losses.forEach(loss => {
-          fleet.lose(loss);
+          fleet.removeHost(loss);
           fleet.run(2_000);
         });
         fleet.run(COLD_MS);
         expect(fleet.dissolved.filter(name => evacuatedGroups.includes(name))).to.deep.equal([]);
         const dissolvedCount = fleet.dissolved.length;
         const allServed = fleet.serving('large') > 0 && fleet.serving('small') > 0;
-        fleet.takeBack('z0');
+        fleet.endEvacuation('z0');
         fleet.run(COLD_MS - 1);
         expect(!allServed || fleet.dissolved.length === dissolvedCount).to.equal(true);
       }),
@@ -122,19 +122,19 @@
 
   it('form new groups in an evacuated domain after one of its groups has broken', () => {
     for (const kind of WIDE_FLEETS) {
-      const fleet = startFleet(wideFleet(kind));
+      const fleet = startFleet(nineDomainFleet(kind));
       const before = fleet.groupsIn('z2').length;
       fleet.evacuate('z2');
-      fleet.loseIn('z2');
-      fleet.arrive(6);
+      fleet.removeHostIn('z2');
+      fleet.addHost(6);
       fleet.run(60_000);
       expect(fleet.groupsIn('z2').length, JSON.stringify(kind)).to.be.at.least(before);
-      expect(fleet.mostFree).to.be.lessThan(kind.largeSize);
+      expect(fleet.maxFreeHosts).to.be.lessThan(kind.largeSize);
     }
   });
 
   it('serve both models in the last domain while the two others are evacuated', () => {
-    const fleet = startFleet(wideFleet(WIDE_FLEETS[0] as (typeof WIDE_FLEETS)[number]));
+    const fleet = startFleet(nineDomainFleet(WIDE_FLEETS[0] as (typeof WIDE_FLEETS)[number]));
     fleet.evacuate('z0');
     fleet.evacuate('z1');
     fleet.run(20_000);
@@ -148,14 +148,14 @@
     ['z0', 'z1', 'z2'].forEach(name => {
       fleet.evacuate(name);
     });
-    fleet.loseIn(largeDomain);
+    fleet.removeHostIn(largeDomain);
     fleet.run(90_000);
     expect(
       fleet.groupsIn(largeDomain).length,
       'small groups in place of the broken one',
     ).to.be.at.least(3);
     ['z0', 'z1', 'z2'].forEach(name => {
-      fleet.takeBack(name);
+      fleet.endEvacuation(name);
     });
     expect(fleet.serving('large')).to.equal(1);
   });
--- a/packages/entry/src/groups/domain-use.test.ts
+++ b/packages/entry/src/groups/evacuation-tracker.test.ts
@@ -3,7 +3,7 @@
 
 import { silentLog } from '../server/log.js';
 import { testHost } from '../testing/groups.js';
-import { DomainUses } from './domain-use.js';
+import { EvacuationTracker } from './evacuation-tracker.js';
 
 const COLD_MS = 3_000;
 const HOSTS = ['a', 'a', 'a', 'b', 'b', 'c'].map((failureDomain, index) =>
@@ -14,7 +14,7 @@
 function trackDomains(...initial: string[]): {
   readonly evacuated: Set<string>;
   readonly lines: string[];
-  readonly uses: DomainUses;
+  readonly uses: EvacuationTracker;
 } {
   const evacuated = new Set(initial);
   const lines: string[] = [];
@@ -25,7 +25,7 @@
     },
   };
   const isEvacuated = (domain: string): boolean => evacuated.has(domain);
-  const uses = new DomainUses({ service: 'lm', isEvacuated, coldMs: () => COLD_MS, log });
+  const uses = new EvacuationTracker({ service: 'lm', isEvacuated, coldMs: () => COLD_MS, log });
   return { evacuated, lines, uses };
 }
 
--- a/packages/entry/src/groups/domain-use.ts
+++ b/packages/entry/src/groups/evacuation-tracker.ts
@@ -16,14 +16,14 @@
 const RETURNING_COLD_FRACTION = 0.5;
 
 /** The evacuated failure domains, and whether an evacuation has just ended. */
-export type DomainUse = {
+export type EvacuationState = {
   readonly evacuatedDomains: ReadonlySet<string>;
   /** True when the evacuation of a failure domain has ended and its hosts may still be cold. */
   readonly isReturning: boolean;
 };
 
-/** Options of {@link DomainUses}. */
-export type DomainUsesOptions = {
+/** Options of {@link EvacuationTracker}. */
+export type EvacuationTrackerOptions = {
   readonly service: string;
   /** True while no requests may be sent to hosts of the failure domain. */
   readonly isEvacuated: (failureDomain: string) => boolean;
@@ -33,19 +33,19 @@
 };
 
 /** Tracks evacuated failure domains between calls, and when the last evacuation ended. */
-export class DomainUses {
-  readonly #options: DomainUsesOptions;
+export class EvacuationTracker {
+  readonly #options: EvacuationTrackerOptions;
   /** All failure domains that have had hosts; one that is cut off has no hosts now, but may still be evacuated. */
   readonly #knownDomains = new Set<string>();
   #evacuated: ReadonlySet<string> = new Set();
   #lastReturnAt = -Infinity;
 
-  constructor(options: DomainUsesOptions) {
+  constructor(options: EvacuationTrackerOptions) {
     this.#options = options;
   }
 
   /** Returns which failure domains plans may use; `now` is in monotonic milliseconds. */
-  observe(hosts: readonly HostEntry[], now: number): DomainUse {
+  observe(hosts: readonly HostEntry[], now: number): EvacuationState {
     const { isEvacuated, coldMs } = this.#options;
     hosts.forEach(host => this.#knownDomains.add(host.failureDomain));
     const evacuatedDomains = new Set([...this.#knownDomains].filter(isEvacuated));
--- a/packages/entry/src/groups/fabric-domain.ts
+++ b/packages/entry/src/groups/fabric-domain.ts
@@ -1,5 +1,5 @@
 /** Determines the fabric domains of hosts. All functions are pure. */
-import type { DomainHost } from '@hingescale/core';
+import type { ObservedHost } from '@hingescale/core';
 
 import type { DepartedHost, HostEntry } from '../hosts/host-entry.js';
 
@@ -16,7 +16,7 @@
   hosts: readonly HostEntry[],
   departed: readonly DepartedHost[],
   now: number,
-): DomainHost[] {
+): ObservedHost[] {
   return [
     ...hosts.map(host => ({ fabricDomain: fabricDomainOf(host), missingForMs: undefined })),
     ...departed.map(({ entry, since }) => ({
--- a/packages/entry/src/groups/fleet-days.test.ts
+++ b/packages/entry/src/groups/fleet-days.test.ts
@@ -3,9 +3,9 @@
 import fc from 'fast-check';
 
 import type { EngineProfile, GroupModel } from '../configuration/serving-configuration.js';
-import { dayProfile, wideFleet } from '../testing/day-fleets.js';
 import { FleetModel } from '../testing/fleet-model.js';
-import { FREE_LOADS } from './formation-plan.js';
+import { nineDomainFleet, twoModelProfile } from '../testing/two-model-fleets.js';
+import { UNLIMITED_LOADS } from './formation-plan.js';
 
 const LOAD_MS = 12_000;
 
@@ -71,12 +71,12 @@
 
 /** Simulates a day with a loss every three seconds; some of the lost hosts are replaced later. */
 function simulateDay(fleet: FleetModel, seed: number): void {
-  fleet.run(6_000, FREE_LOADS);
+  fleet.run(6_000, UNLIMITED_LOADS);
   for (let loss = 0; loss < 9; loss++) {
     fleet.run(3_000);
-    fleet.lose(seed * 7 + loss * 13);
+    fleet.removeHost(seed * 7 + loss * 13);
     if (loss >= 3) {
-      fleet.arrive((seed + loss) % 6);
+      fleet.addHost((seed + loss) % 6);
     }
   }
   fleet.run(15_000);
@@ -104,7 +104,7 @@
         fc.pre(fittingDomains.length >= deployment.sizes.length);
         fleet.run(5_000);
         for (const loss of deployment.losses) {
-          fleet.lose(loss);
+          fleet.removeHost(loss);
           fleet.run(2_000);
         }
         fleet.run(maxLoadTimeMs(deployment, fleet.hostCount));
@@ -126,7 +126,7 @@
       losses: [],
     });
     fleet.run(5_000);
-    fleet.lose(0);
+    fleet.removeHost(0);
     fleet.run(600_000);
     expect(fleet.serving('m1')).to.be.at.least(1);
   });
@@ -137,8 +137,8 @@
         const fleet = fleetOf(deployment);
         for (let step = 0; step < 15; step++) {
           fleet.run(3_000);
-          if (fleet.isQuiet) {
-            expect(fleet.mostFree).to.be.lessThan(Math.min(...deployment.sizes));
+          if (fleet.isSettled) {
+            expect(fleet.maxFreeHosts).to.be.lessThan(Math.min(...deployment.sizes));
           }
         }
       }),
@@ -148,7 +148,7 @@
 
   it('spend most of the host time in serving groups on a day with many losses', () => {
     for (const seed of [1, 2, 3, 4, 5]) {
-      const fleet = new FleetModel({ ...DAY_FLEET, profile: dayProfile(4, 2) });
+      const fleet = new FleetModel({ ...DAY_FLEET, profile: twoModelProfile(4, 2) });
       simulateDay(fleet, seed);
       const ratio = fleet.servingHostMs / fleet.possibleHostMs;
       expect(ratio, `seed ${seed}`).to.be.at.least(0.85);
@@ -159,7 +159,7 @@
   it('strand few hosts where models of 8 and 2, or 8 and 4, share fabric domains of 18 or 19', () => {
     for (const kind of WIDE_FLEETS) {
       for (const seed of [1, 2, 3]) {
-        const fleet = wideFleet(kind);
+        const fleet = nineDomainFleet(kind);
         simulateDay(fleet, seed);
         const name = `${kind.domainSize} hosts, seed ${seed}`;
         expect(fleet.strandedHostMs / fleet.hostMs, name).to.be.at.most(0.05);
@@ -172,7 +172,7 @@
 
   it('do not trade a large model for many groups of a small one', () => {
     for (const seed of [1, 2, 3, 4, 5]) {
-      const fleet = new FleetModel({ ...DAY_FLEET, profile: dayProfile(5, 3) });
+      const fleet = new FleetModel({ ...DAY_FLEET, profile: twoModelProfile(5, 3) });
       simulateDay(fleet, seed);
       expect(fleet.serving('large'), `seed ${seed}`).to.be.at.least(3);
     }
--- a/packages/entry/src/groups/fleet-view.ts
+++ b/packages/entry/src/groups/fleet-view.ts
@@ -34,29 +34,33 @@
    */
   readonly isReturning: boolean;
   /** Fabric domains that lack most of their entries, or did until recently: their hosts may return one by one. */
-  readonly lapsed: ReadonlySet<string>;
+  readonly lapsedDomains: ReadonlySet<string>;
   /** The model that a host is staging; undefined when it stages none. */
-  readonly stagingNow: (hostId: string) => string | undefined;
+  readonly stagingModelOf: (hostId: string) => string | undefined;
   /** Ids of slow hosts; a group runs at the pace of its slowest member. */
-  readonly slow: ReadonlySet<string>;
+  readonly slowHosts: ReadonlySet<string>;
 };
 
 /** Time that a host needs to join a group of its last model, in milliseconds (from the platform's protocol). */
 export const REJOIN_MS = 200;
 
 /** Time until a host is ready for a model without a load, in milliseconds; undefined when it has to load. */
-export function warmMsOf(host: HostEntry, model: GroupModel, view: FleetView): number | undefined {
+export function joinMsWithoutLoad(
+  host: HostEntry,
+  model: GroupModel,
+  view: FleetView,
+): number | undefined {
   if (host.lastModel === model.name) {
     return REJOIN_MS;
   }
   // A join that needs the staged copy has to wait for a staging in progress on the same host.
   const staged = host.stagedModels.includes(model.name);
-  return staged && view.stagingNow(host.id) === undefined ? model.warmMs : undefined;
+  return staged && view.stagingModelOf(host.id) === undefined ? model.warmMs : undefined;
 }
 
 /** True when a host is ready for a model without a load, or will be once its staging in progress is done. */
-export function willHave(host: HostEntry, model: GroupModel, view: FleetView): boolean {
-  const staging = view.stagingNow(host.id);
+export function isOrWillBeReady(host: HostEntry, model: GroupModel, view: FleetView): boolean {
+  const staging = view.stagingModelOf(host.id);
   if (host.lastModel === model.name || staging === model.name) {
     return true;
   }
@@ -69,7 +73,7 @@
 }
 
 /** The view as it would be without any evacuation: evacuated fabric domains are added to those in use. */
-export function wholeFleetOf(view: FleetView): FleetView {
+export function withEvacuatedDomains(view: FleetView): FleetView {
   return { ...view, domains: [...view.domains, ...view.evacuated], evacuated: [] };
 }
 
@@ -78,7 +82,7 @@
  * continue as if none were: no other domain can take over, and the groups are needed as soon as the first
  * evacuation ends.
  */
-export function dividedByUse(
+export function splitByEvacuation(
   domains: readonly FleetDomain[],
   evacuatedDomains: ReadonlySet<string>,
 ): Pick<FleetView, 'domains' | 'evacuated'> {
@@ -92,7 +96,7 @@
 }
 
 /** The capacity value of the groups in the domains that may be used. */
-export function valueOf(view: FleetView): CapacityValue {
+export function capacityValueOf(view: FleetView): CapacityValue {
   const { profile, domains } = view;
   const value = new CapacityValue(profile.models, failureDomainsOf(domains).length);
   for (const domain of domains) {
@@ -104,7 +108,7 @@
 }
 
 /** The largest number of hosts, at most `hosts`, that groups of these sizes can use up exactly. */
-export function mostUsable(hosts: number, sizes: readonly number[]): number {
+export function maxUsableHosts(hosts: number, sizes: readonly number[]): number {
   const reachable = new Array<boolean>(hosts + 1).fill(false);
   reachable[0] = true;
   let most = 0;
--- a/packages/entry/src/groups/formation-plan.ts
+++ b/packages/entry/src/groups/formation-plan.ts
@@ -3,7 +3,7 @@
 import type { HostEntry } from '../hosts/host-entry.js';
 import type { CapacityValue } from './capacity-value.js';
 import type { FleetDomain, FleetView } from './fleet-view.js';
-import { mostUsable, valueOf, warmMsOf } from './fleet-view.js';
+import { capacityValueOf, joinMsWithoutLoad, maxUsableHosts } from './fleet-view.js';
 
 /** A replica group to be formed. */
 export type PlannedFormation = {
@@ -25,7 +25,7 @@
 export const NO_LOADS: FormationLoads = 'none';
 
 /** Groups are formed of any hosts, while loads are fast and not limited. */
-export const FREE_LOADS: FormationLoads = 'free';
+export const UNLIMITED_LOADS: FormationLoads = 'free';
 
 /**
  * Weight of a group that still needs a load, relative to one that serves at once, 0 to 1. Above 0, so that a large
@@ -44,7 +44,7 @@
   view: FleetView,
   loads: FormationLoads,
 ): readonly PlannedFormation[] {
-  return fillDomains(view, view.domains, valueOf(view), loads);
+  return planFormationsIn(view, view.domains, capacityValueOf(view), loads);
 }
 
 /**
@@ -52,7 +52,7 @@
  *
  * The next group is always the one that lowers the cost most per host that it uses or strands.
  */
-export function fillDomains(
+export function planFormationsIn(
   view: FleetView,
   domains: readonly FleetDomain[],
   value: CapacityValue,
@@ -162,7 +162,7 @@
 ): number {
   const sizes = view.profile.models.map(other => other.size);
   const rest = hosts.length - model.size;
-  return rest - mostUsable(rest, sizes) - (hosts.length - mostUsable(hosts.length, sizes));
+  return rest - maxUsableHosts(rest, sizes) - (hosts.length - maxUsableHosts(hosts.length, sizes));
 }
 
 // A host that gives up its loaded model for another needs a load before it can serve that model again. If it would
@@ -173,7 +173,7 @@
   view: FleetView,
 ): readonly ForgoneGroup[] {
   return view.profile.models.flatMap(other => {
-    const ready = hosts.filter(host => warmMsOf(host, other, view) !== undefined);
+    const ready = hosts.filter(host => joinMsWithoutLoad(host, other, view) !== undefined);
     if (other === formation.model || ready.length >= other.size) {
       return [];
     }
@@ -196,7 +196,7 @@
   const ranked = hosts
     .map(host => ({
       host,
-      warmMs: warmMsOf(host, model, view),
+      warmMs: joinMsWithoutLoad(host, model, view),
       cost: selectionCostOf(host, model, view),
     }))
     .sort((a, b) => a.cost - b.cost)
@@ -220,10 +220,10 @@
 // Hosts that are ready for no other model have the lowest cost, since those that are ready for several models can
 // help after the next loss. Among hosts that have to load, those with no model have the lowest cost.
 function selectionCostOf(host: HostEntry, model: GroupModel, view: FleetView): number {
-  const warmMs = warmMsOf(host, model, view);
+  const warmMs = joinMsWithoutLoad(host, model, view);
   const others = view.profile.models.filter(
-    other => other !== model && warmMsOf(host, other, view) !== undefined,
+    other => other !== model && joinMsWithoutLoad(host, other, view) !== undefined,
   );
-  const slowPenaltyMs = view.slow.has(host.id) ? SLOW_HOST_PENALTY_MS : 0;
+  const slowPenaltyMs = view.slowHosts.has(host.id) ? SLOW_HOST_PENALTY_MS : 0;
   return (warmMs ?? model.loadMs) + others.length + slowPenaltyMs;
 }
--- a/packages/entry/src/groups/free-hosts.ts
+++ b/packages/entry/src/groups/free-hosts.ts
@@ -5,23 +5,23 @@
  * serve, so the members are ordered to leave first in that case.
  */
 import type { HostEntry } from '../hosts/host-entry.js';
-import type { GroupBeliefs } from './group-beliefs.js';
+import type { KnownGroupState } from './known-group-state.js';
 
 /** Ids of the members of all groups that are being formed. */
-export function awaitedHosts({ formations }: GroupBeliefs): ReadonlySet<string> {
+export function hostsBeingFormed({ formations }: KnownGroupState): ReadonlySet<string> {
   return new Set([...formations.values()].flatMap(({ members }) => members));
 }
 
 /**
- * True when the host may be ordered into a new group. `inFormation` is the result of {@link awaitedHosts}, computed
+ * True when the host may be ordered into a new group. `inFormation` is the result of {@link hostsBeingFormed}, computed
  * once for all hosts: a thousand formations are in progress when a fleet of 3,000 hosts starts.
  */
 export function isFree(
   host: HostEntry,
-  known: GroupBeliefs,
+  known: KnownGroupState,
   inFormation: ReadonlySet<string>,
 ): boolean {
-  if (!host.accepting || known.busy.has(host.id) || known.silent.has(host.id)) {
+  if (!host.accepting || known.busyHosts.has(host.id) || known.unresponsiveHosts.has(host.id)) {
     return false;
   }
   // The entry of a host in a formation may still name the previous group.
@@ -36,10 +36,10 @@
     // A head has to leave first whatever its state: an order to open its group may be in progress.
     return false;
   }
-  return isReleased(membership.group, known);
+  return hasHeadLeft(membership.group, known);
 }
 
 /** True when the head has left the group: it can no longer serve, and its members may join other groups. */
-export function isReleased(group: string, known: GroupBeliefs): boolean {
+export function hasHeadLeft(group: string, known: KnownGroupState): boolean {
   return known.heads.get(group)?.left === true;
 }
--- a/packages/entry/src/groups/coordinator.ts
+++ b/packages/entry/src/groups/group-coordinator.ts
@@ -9,8 +9,8 @@
 import { MemberProber } from './member-prober.js';
 import { OrderSender } from './order-sender.js';
 
-/** Dependencies and settings of a {@link Coordinator}. */
-export type CoordinatorOptions = {
+/** Dependencies and settings of a {@link GroupCoordinator}. */
+export type GroupCoordinatorOptions = {
   readonly orders: HostOrders;
   readonly registry: HostRegistry;
   readonly lease: LeaseTask;
@@ -19,7 +19,7 @@
   /** The models of a service with their measured shares of the work. */
   readonly profileOf: (service: string) => EngineProfile | undefined;
   /** How long the hosts have been watched without interruption, in milliseconds; undefined during an interruption. */
-  readonly inTouchForMs: () => number | undefined;
+  readonly watchedForMs: () => number | undefined;
   /** Length of the sliding window over which begun loads are counted, in milliseconds. */
   readonly loadWindowMs: number;
   /** True before the first request for a service: until then loads are fast and are not limited. */
@@ -35,8 +35,8 @@
 const PLAN_PERIOD_MS = 100;
 
 /** Plans whenever the known hosts change, and every 100 ms; does nothing without the lease. */
-export class Coordinator {
-  readonly #options: CoordinatorOptions;
+export class GroupCoordinator {
+  readonly #options: GroupCoordinatorOptions;
   readonly #sender: OrderSender;
   readonly #prober: MemberProber;
   readonly #groupTasks = new Map<string, GroupTask>();
@@ -44,7 +44,7 @@
   #planPending = false;
   #stopped = false;
 
-  constructor(options: CoordinatorOptions) {
+  constructor(options: GroupCoordinatorOptions) {
     this.#options = options;
     const { orders, lease, log, counters } = options;
     this.#sender = new OrderSender(orders, log, counters, term => lease.term === term);
@@ -52,7 +52,7 @@
       orders,
       log,
       counters,
-      changed: () => {
+      onChange: () => {
         this.#schedulePlan();
       },
     });
@@ -84,7 +84,7 @@
   }
 
   /** Plans the groups of these services too; services without a model engine are skipped. */
-  follow(services: readonly Service[]): void {
+  manageServices(services: readonly Service[]): void {
     for (const { name, engine } of services) {
       if (engine !== undefined && !this.#groupTasks.has(name)) {
         this.#groupTasks.set(name, this.#makeGroupTask(name));
@@ -102,14 +102,21 @@
   }
 
   #makeGroupTask(service: string): GroupTask {
-    const { registry, inTouchForMs, loadWindowMs, isEvacuated, log, counters } = this.#options;
+    const {
+      registry,
+      watchedForMs: inTouchForMs,
+      loadWindowMs,
+      isEvacuated,
+      log,
+      counters,
+    } = this.#options;
     return new GroupTask({
       service,
       profile: () => this.#options.profileOf(service),
       registry,
       sender: this.#sender,
       prober: this.#prober,
-      inTouchForMs,
+      hostsWatchedForMs: inTouchForMs,
       loadWindowMs,
       mayLoadFreely: () => this.#options.mayLoadFreely(service),
       isEvacuated,
@@ -137,7 +144,7 @@
     }
     this.#prober.recheck(id => registry.get(id));
     for (const task of this.#groupTasks.values()) {
-      task.step(lease.term, lease.renewedAt);
+      task.step(lease.term, lease.renewalRevision);
     }
   }
 }
--- a/packages/entry/src/groups/rearrangement.ts
+++ b/packages/entry/src/groups/group-dissolutions.ts
@@ -1,9 +1,9 @@
 /** Tracks the groups that are being dissolved for others, and limits how often dissolutions are planned. */
 import type { Log } from '../server/log.js';
+import { planDissolution } from './dissolution-plan.js';
 import type { FleetView } from './fleet-view.js';
-import { planDissolution } from './rearrangement-plan.js';
 import type { ReplicaGroup } from './replica-groups.js';
-import { planSlowReplacements } from './slow-members.js';
+import { planSlowMemberReplacements } from './slow-members.js';
 
 /** Least time between two evaluations, in milliseconds; an evaluation takes about 1 ms. */
 const EVALUATION_PERIOD_MS = 300;
@@ -14,7 +14,7 @@
 const DISSOLUTION_PERIOD_MS = 1_500;
 
 /** The dissolutions in progress for one service. */
-export class Rearrangement {
+export class GroupDissolutions {
   readonly #log: Log;
   readonly #dissolving = new Map<string, number>();
   #evaluatedAt = -Infinity;
@@ -30,7 +30,7 @@
   }
 
   /** Decides which groups are to be dissolved; the orders are sent by the repair of these groups. */
-  look(fleet: FleetView, now: number): void {
+  update(fleet: FleetView, now: number): void {
     if (now - this.#evaluatedAt < EVALUATION_PERIOD_MS) {
       return;
     }
@@ -54,19 +54,19 @@
 
   // Not limited by the dissolution period: the hosts of each group form a group of the same model again.
   #replaceSlowMembers(fleet: FleetView, now: number): void {
-    for (const group of planSlowReplacements(fleet)) {
+    for (const group of planSlowMemberReplacements(fleet)) {
       this.#dissolving.set(group.name, now);
       this.#log.info('group dissolved to replace slow members', {
         group: group.name,
         model: group.model,
         domain: group.members[0]?.fabricDomain,
-        slow: group.members.flatMap(({ id }) => (fleet.slow.has(id) ? [id] : [])).join(','),
+        slow: group.members.flatMap(({ id }) => (fleet.slowHosts.has(id) ? [id] : [])).join(','),
       });
     }
   }
 
   /** Removes groups that no longer have a head. */
-  forgetEnded(groups: readonly ReplicaGroup[]): void {
+  removeEnded(groups: readonly ReplicaGroup[]): void {
     for (const name of this.#dissolving.keys()) {
       if (groups.find(group => group.name === name)?.head === undefined) {
         this.#dissolving.delete(name);
--- a/packages/entry/src/groups/group-observer.ts
+++ b/packages/entry/src/groups/group-observer.ts
@@ -1,7 +1,7 @@
 /** Remembers earlier states of groups, since the entries of hosts only show the current one. */
 import type { EngineProfile } from '../configuration/serving-configuration.js';
 import type { HostEntry } from '../hosts/host-entry.js';
-import type { KnownHead } from './group-beliefs.js';
+import type { KnownHead } from './known-group-state.js';
 import type { ReplicaGroup } from './replica-groups.js';
 
 /** Tracks the last observed head of each group, and since when groups lack members. */
@@ -31,7 +31,7 @@
   }
 
   /** Records that a host has confirmed an order to leave the group; it matters only for the group's head. */
-  noteLeft(group: string, hostId: string): void {
+  noteHeadLeft(group: string, hostId: string): void {
     const knownHead = this.#heads.get(group);
     if (knownHead?.host.id === hostId) {
       this.#heads.set(group, { ...knownHead, left: true });
--- a/packages/entry/src/groups/group-repair.test.ts
+++ b/packages/entry/src/groups/group-repair.test.ts
@@ -2,10 +2,10 @@
 
 import type { EngineProfile } from '../configuration/serving-configuration.js';
 import type { HostEntry, MembershipState } from '../hosts/host-entry.js';
-import { testBeliefs, testHost } from '../testing/groups.js';
-import type { GroupBeliefs } from './group-beliefs.js';
-import { releaseOf, repairOf } from './group-repair.js';
-import { replicaGroups } from './replica-groups.js';
+import { testHost, testKnownState } from '../testing/groups.js';
+import { planRelease, planRepair } from './group-repair.js';
+import type { KnownGroupState } from './known-group-state.js';
+import { collectReplicaGroups } from './replica-groups.js';
 
 const PROFILE: EngineProfile = {
   models: [{ name: 'm', size: 2, pace: 1, workShare: 1, loadMs: 1, warmMs: 1 }],
@@ -19,19 +19,19 @@
   return testHost(id, { accepting, membership: { group: 'g', epoch: 1, rank, state } });
 }
 
-function repair(hosts: readonly HostEntry[], change: Partial<GroupBeliefs> = {}): string {
-  const known = testBeliefs(change);
-  const [group] = replicaGroups(hosts);
-  const planned = group === undefined ? undefined : repairOf(group, PROFILE, known, 10_000);
+function repair(hosts: readonly HostEntry[], change: Partial<KnownGroupState> = {}): string {
+  const known = testKnownState(change);
+  const [group] = collectReplicaGroups(hosts);
+  const planned = group === undefined ? undefined : planRepair(group, PROFILE, known, 10_000);
   return planned === undefined ? 'nothing' : `${planned.order.kind} ${planned.reason}`;
 }
 
-function release(change: Partial<GroupBeliefs>, missingForMs: number): readonly string[] {
+function release(change: Partial<KnownGroupState>, missingForMs: number): readonly string[] {
   const head = { host: member('h', 0, 'open'), missingSince: 10_000 - missingForMs, left: false };
-  const known = testBeliefs({ heads: new Map([['g', head]]), ...change });
+  const known = testKnownState({ heads: new Map([['g', head]]), ...change });
   const members = [member('x', 1, 'ready')];
-  const [group] = replicaGroups(members);
-  const planned = group === undefined ? [] : releaseOf(group, known, 10_000);
+  const [group] = collectReplicaGroups(members);
+  const planned = group === undefined ? [] : planRelease(group, known, 10_000);
   return planned.map(({ host, order }) => `${host.id} ${order.kind}`);
 }
 
@@ -42,10 +42,13 @@
 
   it('does not wait until the entry is removed where the head itself does not answer', () => {
     const open = [member('h', 0, 'open'), member('x', 1, 'ready')];
-    const [group] = replicaGroups(open);
+    const [group] = collectReplicaGroups(open);
     const released = (silentForMs: number): readonly string[] => {
       const silent = new Map([['h', 10_000 - silentForMs]]);
-      const planned = group === undefined ? [] : releaseOf(group, testBeliefs({ silent }), 10_000);
+      const planned =
+        group === undefined
+          ? []
+          : planRelease(group, testKnownState({ unresponsiveHosts: silent }), 10_000);
       return planned.map(({ host, order }) => `${host.id} ${order.kind}`);
     };
     expect(released(200)).to.deep.equal([]);
@@ -64,10 +67,10 @@
 
   it('waits where a member has only just begun to answer again, since the head may do so too', () => {
     const open = [member('h', 0, 'open'), member('x', 1, 'ready')];
-    const [group] = replicaGroups(open);
+    const [group] = collectReplicaGroups(open);
     const silent = new Map([['h', 5_000]]);
-    const known = testBeliefs({ silent, justBack: new Set(['x']) });
-    expect(group === undefined ? undefined : releaseOf(group, known, 10_000)).to.deep.equal([]);
+    const known = testKnownState({ unresponsiveHosts: silent, recoveredHosts: new Set(['x']) });
+    expect(group === undefined ? undefined : planRelease(group, known, 10_000)).to.deep.equal([]);
   });
 });
 
@@ -75,8 +78,8 @@
   it('waits for the answer of a member whose entry was removed, and decides by it', () => {
     const hosts = [member('h', 0, 'open')];
     const departed = member('x', 1, 'ready');
-    expect(repair(hosts, { beingAsked: [departed] })).to.equal('nothing');
-    expect(repair(hosts, { unlisted: new Map([['x', departed]]) })).to.equal('nothing');
+    expect(repair(hosts, { hostsBeingProbed: [departed] })).to.equal('nothing');
+    expect(repair(hosts, { unlistedHosts: new Map([['x', departed]]) })).to.equal('nothing');
     expect(repair(hosts, {})).to.equal('leave member-lost');
   });
 
@@ -88,20 +91,22 @@
 
   it('orders the head to leave when a member is missing or does not answer', () => {
     expect(repair([member('h', 0, 'open')])).to.equal('leave member-lost');
-    expect(repair(open, { silent: new Map([['x', 9_000]]) })).to.equal('leave member-lost');
+    expect(repair(open, { unresponsiveHosts: new Map([['x', 9_000]]) })).to.equal(
+      'leave member-lost',
+    );
   });
 
   it('keeps the group after an outage of the store while the entry of a member may be written again', () => {
     const headOnly = [member('h', 0, 'open')];
     expect(repair(headOnly, { entriesMayReturn: true })).to.equal('nothing');
-    expect(repair(open, { entriesMayReturn: true, silent: new Map([['x', 9_000]]) })).to.equal(
-      'leave member-lost',
-    );
+    expect(
+      repair(open, { entriesMayReturn: true, unresponsiveHosts: new Map([['x', 9_000]]) }),
+    ).to.equal('leave member-lost');
   });
 
   it('keeps the group while a member whose entry was removed still answers', () => {
     const unlisted = new Map([['x', member('x', 1, 'ready')]]);
-    expect(repair([member('h', 0, 'open')], { unlisted })).to.equal('nothing');
+    expect(repair([member('h', 0, 'open')], { unlistedHosts: unlisted })).to.equal('nothing');
   });
 
   it('plans no order when the head is unreachable, or was until a moment ago', () => {
@@ -109,9 +114,11 @@
       ['h', 9_000],
       ['x', 9_000],
     ]);
-    expect(repair(open, { silent: unresponsive })).to.equal('nothing');
+    expect(repair(open, { unresponsiveHosts: unresponsive })).to.equal('nothing');
     const justBack = new Set(['h']);
-    expect(repair(open, { silent: new Map([['x', 9_000]]), justBack })).to.equal('nothing');
+    expect(
+      repair(open, { unresponsiveHosts: new Map([['x', 9_000]]), recoveredHosts: justBack }),
+    ).to.equal('nothing');
   });
 
   it('closes the group when a member is leaving, so that requests in progress finish', () => {
--- a/packages/entry/src/groups/group-repair.ts
+++ b/packages/entry/src/groups/group-repair.ts
@@ -2,9 +2,9 @@
 import type { EngineProfile } from '../configuration/serving-configuration.js';
 import type { HostEntry } from '../hosts/host-entry.js';
 import { fabricDomainOf } from './fabric-domain.js';
-import type { Formation, GroupBeliefs, PlannedOrder } from './group-beliefs.js';
-import type { OrderReason } from './group-beliefs.js';
 import type { HostOrder } from './host-orders.js';
+import type { Formation, KnownGroupState, PlannedOrder } from './known-group-state.js';
+import type { OrderReason } from './known-group-state.js';
 import type { ReplicaGroup } from './replica-groups.js';
 import { headState } from './replica-groups.js';
 
@@ -21,10 +21,10 @@
 const INHERITED_FORMATION_MS = 3_000;
 
 /** The order that a group's head needs now; undefined when none. `now` is in monotonic milliseconds. */
-export function repairOf(
+export function planRepair(
   group: ReplicaGroup,
   profile: EngineProfile,
-  known: GroupBeliefs,
+  known: KnownGroupState,
   now: number,
 ): PlannedOrder | undefined {
   const head = group.head;
@@ -32,7 +32,7 @@
     return undefined;
   }
   // An unreachable head may be working, and so may members that were probed while it was unreachable.
-  if (known.silent.has(head.id) || known.justBack.has(head.id)) {
+  if (known.unresponsiveHosts.has(head.id) || known.recoveredHosts.has(head.id)) {
     return undefined;
   }
   const dissolvingSince = known.dissolving.get(group.name);
@@ -53,9 +53,9 @@
 }
 
 /** Orders that make the members of a group with a lost head leave it, so that they may join other groups. */
-export function releaseOf(
+export function planRelease(
   group: ReplicaGroup,
-  known: GroupBeliefs,
+  known: KnownGroupState,
   now: number,
 ): readonly PlannedOrder[] {
   const knownHead = known.heads.get(group.name);
@@ -66,16 +66,16 @@
   const followers = group.members.filter(member => member !== undefined && member !== group.head);
   return followers
     .filter(member => member !== undefined)
-    .filter(member => !known.silent.has(member.id))
+    .filter(member => !known.unresponsiveHosts.has(member.id))
     .map(member => planLeave(group, member, 'head-lost'));
 }
 
 // The entry of a crashed host stays for some heartbeats, so a head that does not answer counts as lost before its entry
 // is removed. Where the head is only cut off from this process, its group is broken up too; that is accepted, since
 // members that wait for a crashed head serve no requests.
-function isHeadLost(group: ReplicaGroup, known: GroupBeliefs, now: number): boolean {
+function isHeadLost(group: ReplicaGroup, known: KnownGroupState, now: number): boolean {
   if (group.head !== undefined) {
-    const silentSince = known.silent.get(group.head.id);
+    const silentSince = known.unresponsiveHosts.get(group.head.id);
     return silentSince !== undefined && now - silentSince > HEAD_UNRESPONSIVE_MS;
   }
   const since = known.heads.get(group.name)?.missingSince;
@@ -84,14 +84,17 @@
 
 // After an outage of the store, or a network partition between it and the group's hosts, a missing entry does not show
 // that its host is lost.
-function entriesMayReturn(group: ReplicaGroup, known: GroupBeliefs): boolean {
+function entriesMayReturn(group: ReplicaGroup, known: KnownGroupState): boolean {
   const [anyMember] = group.members.filter(member => member !== undefined);
   const domain = anyMember === undefined ? undefined : fabricDomainOf(anyMember);
   return known.entriesMayReturn || (domain !== undefined && known.lapsedDomains.has(domain));
 }
 
 // When a network partition ends, members may answer again shortly before their head is probed again.
-function hasRecoveredMember({ members }: ReplicaGroup, { justBack }: GroupBeliefs): boolean {
+function hasRecoveredMember(
+  { members }: ReplicaGroup,
+  { recoveredHosts: justBack }: KnownGroupState,
+): boolean {
   return members.some(member => member !== undefined && justBack.has(member.id));
 }
 
@@ -99,7 +102,7 @@
 export function requiredSize(
   group: ReplicaGroup,
   profile: EngineProfile,
-  known: GroupBeliefs,
+  known: KnownGroupState,
 ): number | undefined {
   const formation = known.formations.get(group.name);
   const model = formation?.model ?? group.model;
@@ -126,7 +129,7 @@
   group: ReplicaGroup,
   head: HostEntry,
   size: number | undefined,
-  known: GroupBeliefs,
+  known: KnownGroupState,
 ): PlannedOrder | undefined {
   if (isMemberLost(group, size, known)) {
     return planLeave(group, head, 'member-lost');
@@ -142,11 +145,11 @@
   group: ReplicaGroup,
   head: HostEntry,
   size: number | undefined,
-  known: GroupBeliefs,
+  known: KnownGroupState,
   now: number,
 ): PlannedOrder | undefined {
   const present = group.members.filter(member => member !== undefined);
-  if (present.some(member => !member.accepting || known.silent.has(member.id))) {
+  if (present.some(member => !member.accepting || known.unresponsiveHosts.has(member.id))) {
     return planLeave(group, head, 'member-leaving');
   }
   const allReady = present.every(member => member.membership?.state === 'ready');
@@ -161,12 +164,14 @@
 function isFormationExpired(
   group: ReplicaGroup,
   size: number | undefined,
-  known: GroupBeliefs,
+  known: KnownGroupState,
   now: number,
 ): boolean {
   const formation: Formation | undefined = known.formations.get(group.name);
   if (formation !== undefined) {
-    return now > formation.deadline || formation.members.some(id => known.silent.has(id));
+    return (
+      now > formation.deadline || formation.members.some(id => known.unresponsiveHosts.has(id))
+    );
   }
   const present = group.members.filter(member => member !== undefined);
   if (size === undefined || present.length < size) {
@@ -178,7 +183,11 @@
 }
 
 // A member is lost when no host holds its rank, or when the host that holds it does not answer.
-function isMemberLost(group: ReplicaGroup, size: number | undefined, known: GroupBeliefs): boolean {
+function isMemberLost(
+  group: ReplicaGroup,
+  size: number | undefined,
+  known: KnownGroupState,
+): boolean {
   const rankCount = Math.max(size ?? 0, group.members.length);
   for (let rank = 0; rank < rankCount; rank++) {
     const member = group.members[rank];
@@ -186,7 +195,7 @@
       if (!entriesMayReturn(group, known) && !isHeldWithoutEntry(group, rank, known)) {
         return true;
       }
-    } else if (known.silent.has(member.id)) {
+    } else if (known.unresponsiveHosts.has(member.id)) {
       return true;
     }
   }
@@ -195,15 +204,15 @@
 
 // A host that is cut off from the store loses its entry but continues to serve. It counts as lost only once it has not
 // answered a probe. Without this rule, such a cut dissolved the groups of a fifth of all hosts.
-function isHeldWithoutEntry(group: ReplicaGroup, rank: number, known: GroupBeliefs): boolean {
-  for (const host of [...known.unlisted.values(), ...known.beingAsked]) {
+function isHeldWithoutEntry(group: ReplicaGroup, rank: number, known: KnownGroupState): boolean {
+  for (const host of [...known.unlistedHosts.values(), ...known.hostsBeingProbed]) {
     const membership = host.membership;
     if (
       membership?.group === group.name &&
       membership.epoch === group.epoch &&
       membership.rank === rank
     ) {
-      return !known.silent.has(host.id);
+      return !known.unresponsiveHosts.has(host.id);
     }
   }
   return false;
--- a/packages/entry/src/groups/group-suspicions.ts
+++ b/packages/entry/src/groups/group-suspicions.ts
@@ -2,14 +2,14 @@
 import type { HostEntry } from '../hosts/host-entry.js';
 import type { Peers } from '../peers/peers.js';
 import type { Counters } from '../server/metrics.js';
-import type { Coordinator } from './coordinator.js';
+import type { GroupCoordinator } from './group-coordinator.js';
 
 /** Options of {@link GroupSuspicions}. */
 export type GroupSuspicionsOptions = {
   /** Undefined where this entry host has no peers: then it sends the orders itself. */
   readonly peers: () => Pick<Peers, 'suspect'> | undefined;
   /** Plans the groups on this entry host; it acts only while this entry host holds the lease. */
-  readonly coordinator: () => Pick<Coordinator, 'suspect'>;
+  readonly coordinator: () => Pick<GroupCoordinator, 'suspect'>;
   readonly counters: Counters;
 };
 
--- a/packages/entry/src/groups/group-task.test.ts
+++ b/packages/entry/src/groups/group-task.test.ts
@@ -7,7 +7,7 @@
 import { silentLog } from '../server/log.js';
 import { Counters } from '../server/metrics.js';
 import { sleep } from '../server/time.js';
-import { readTestHost, testHost } from '../testing/groups.js';
+import { testHost, testHostReading } from '../testing/groups.js';
 import { GroupTask } from './group-task.js';
 import type { HostOrder, HostOrders } from './host-orders.js';
 import { MemberProber } from './member-prober.js';
@@ -27,9 +27,9 @@
 };
 
 function registryOf(hosts: readonly HostEntry[]): HostRegistry {
-  const registry = new HostRegistry((_, value) => readTestHost(value as HostEntry), silentLog());
+  const registry = new HostRegistry((_, value) => testHostReading(value as HostEntry), silentLog());
   const objects = hosts.map(value => ({ name: value.id, revision: 1, value }));
-  registry.takeList({ objects, revision: 1 });
+  registry.applyList({ objects, revision: 1 });
   return registry;
 }
 
@@ -68,8 +68,8 @@
       profile: () => PROFILE,
       registry: registryOf(hosts),
       sender: new OrderSender(orders, log, counters),
-      prober: new MemberProber({ orders, log, counters, changed: () => undefined }),
-      inTouchForMs: () => 60_000,
+      prober: new MemberProber({ orders, log, counters, onChange: () => undefined }),
+      hostsWatchedForMs: () => 60_000,
       loadWindowMs: 1_000,
       mayLoadFreely: () => true,
       isEvacuated: () => false,
