--- a/packages/entry/src/groups/group-task.ts
+++ b/packages/entry/src/groups/group-task.ts
@@ -5,7 +5,7 @@
  * used twice, and epochs rise with the renewals of the lease.
  */
 import type { Revision } from '@hingescale/core';
-import { LapsedDomains } from '@hingescale/core';
+import { MassLossDetector } from '@hingescale/core';
 
 import type { EngineProfile } from '../configuration/serving-configuration.js';
 import type { DepartedHost, HostEntry } from '../hosts/host-entry.js';
@@ -14,30 +14,30 @@
 import type { Counters } from '../server/metrics.js';
 import { monotonicMs } from '../server/time.js';
 import { AcceptedOrders } from './accepted-orders.js';
+import { buildFleetView } from './build-fleet-view.js';
 import { CapacityLog } from './capacity-log.js';
-import { DomainUses } from './domain-use.js';
 import { EpochSeries } from './epoch-series.js';
-import { planIdleFormations, planIdleStagings } from './evacuated-plan.js';
+import { planEvacuatedFormations, planEvacuatedStagings } from './evacuated-domain-plan.js';
+import { EvacuationTracker } from './evacuation-tracker.js';
 import { domainHosts } from './fabric-domain.js';
-import { fleetViewOf } from './fleet-picture.js';
 import type { FleetView } from './fleet-view.js';
 import type { PlannedFormation } from './formation-plan.js';
-import { FREE_LOADS, NO_LOADS, planFormations } from './formation-plan.js';
-import type { Formation, GroupBeliefs, PlannedOrder } from './group-beliefs.js';
-import { hasRestarted } from './group-beliefs.js';
+import { NO_LOADS, planFormations, UNLIMITED_LOADS } from './formation-plan.js';
+import { GroupDissolutions } from './group-dissolutions.js';
 import { GroupObserver } from './group-observer.js';
-import { releaseOf, repairOf } from './group-repair.js';
+import { planRelease, planRepair } from './group-repair.js';
 import type { HostOrder, OrderOutcome } from './host-orders.js';
+import { HostSettling } from './host-settling.js';
+import type { Formation, KnownGroupState, PlannedOrder } from './known-group-state.js';
+import { hasRestarted } from './known-group-state.js';
 import { LoadBudget } from './load-budget.js';
 import type { MemberProber } from './member-prober.js';
 import type { GuardView } from './order-guard.js';
 import { refuseOrder } from './order-guard.js';
 import type { OrderSender } from './order-sender.js';
-import { Rearrangement } from './rearrangement.js';
 import type { ReplicaGroup } from './replica-groups.js';
-import { replicaGroups } from './replica-groups.js';
+import { collectReplicaGroups } from './replica-groups.js';
 import { RunningStagings } from './running-stagings.js';
-import { Settling } from './settling.js';
 import { planStagings } from './staging-plan.js';
 
 /** Options of {@link GroupTask}. */
@@ -49,7 +49,7 @@
   readonly sender: OrderSender;
   readonly prober: MemberProber;
   /** Time for which hosts have been watched without interruption, in milliseconds; undefined while they are not. */
-  readonly inTouchForMs: () => number | undefined;
+  readonly hostsWatchedForMs: () => number | undefined;
   /** Window of the limit on loads from the weight store, in milliseconds. */
   readonly loadWindowMs: number;
   /** True before the first request, while loads are fast and not limited by rate. */
@@ -79,14 +79,14 @@
 export class GroupTask {
   readonly #options: GroupTaskOptions;
   readonly #formations = new Map<string, Formation>();
-  readonly #rearrangement: Rearrangement;
+  readonly #rearrangement: GroupDissolutions;
   readonly #stagings: RunningStagings;
   readonly #acceptedOrders = new AcceptedOrders();
   readonly #observer: GroupObserver;
   readonly #loadBudget: LoadBudget;
-  readonly #settling = new Settling();
-  readonly #lapsedDomains = new LapsedDomains();
-  readonly #domainUses: DomainUses;
+  readonly #settling = new HostSettling();
+  readonly #lapsedDomains = new MassLossDetector();
+  readonly #domainUses: EvacuationTracker;
   readonly #capacityLog: CapacityLog;
   #term: Revision = 0;
   #renewedAt: Revision = 0;
@@ -98,11 +98,11 @@
     this.#options = options;
     this.#observer = new GroupObserver(id => options.registry.get(id));
     this.#loadBudget = new LoadBudget(options.loadWindowMs);
-    this.#domainUses = new DomainUses(options);
+    this.#domainUses = new EvacuationTracker(options);
     this.#capacityLog = new CapacityLog(options.log);
-    this.#rearrangement = new Rearrangement(options.log);
+    this.#rearrangement = new GroupDissolutions(options.log);
     this.#stagings = new RunningStagings({
-      beliefs: options.prober,
+      hostReachability: options.prober,
       departed: () => this.#departed(),
       log: options.log,
     });
@@ -121,11 +121,11 @@
     this.#renewedAt = renewedAt;
     const now = monotonicMs();
     const hosts = this.#options.registry.ofService(this.#options.service);
-    const groups = replicaGroups(hosts);
+    const groups = collectReplicaGroups(hosts);
     this.#observe(hosts, groups, profile, now);
     const view = this.#view(profile, now);
     this.#repair(groups, profile, view, now);
-    if (hosts.length > 0 && this.#settling.isOver(hosts.length, now)) {
+    if (hosts.length > 0 && this.#settling.isSettled(hosts.length, now)) {
       this.#startedEmpty ??= hosts.every(isEmptyHost);
       this.#formGroups(hosts, groups, profile, view, now);
     }
@@ -135,7 +135,7 @@
     const hosts = this.#options.registry.ofService(this.#options.service);
     return {
       hosts,
-      beliefs: this.#knownState(hosts, profile, now),
+      known: this.#knownState(hosts, profile, now),
       sizeOf: name => profile.models.find(model => model.name === name)?.size,
     };
   }
@@ -160,7 +160,7 @@
     const { prober, registry } = this.#options;
     const entryOf = (id: string): HostEntry | undefined => registry.get(id);
     this.#observer.observe(groups, profile, now);
-    this.#stagings.observe(hosts, now);
+    this.#stagings.update(hosts, now);
     const byName = new Map(groups.map(group => [group.name, group]));
     for (const [name, formation] of this.#formations) {
       const group = byName.get(name);
@@ -170,12 +170,12 @@
         this.#formations.delete(name);
       }
     }
-    this.#rearrangement.forgetEnded(groups);
-    prober.watchDeparted(this.#departed());
+    this.#rearrangement.removeEnded(groups);
+    prober.probeDeparted(this.#departed());
   }
 
   #beingProbed(now: number): readonly HostEntry[] {
-    const { silent, unlisted } = this.#options.prober;
+    const { unresponsiveHosts: silent, unlistedHosts: unlisted } = this.#options.prober;
     return this.#departed()
       .filter(({ since }) => now - since < DEPARTED_PROBE_MS)
       .map(({ entry }) => entry)
@@ -186,32 +186,37 @@
     return this.#options.registry.departedOf(this.#options.service);
   }
 
-  #knownState(hosts: readonly HostEntry[], profile: EngineProfile, now: number): GroupBeliefs {
+  #knownState(hosts: readonly HostEntry[], profile: EngineProfile, now: number): KnownGroupState {
     const { prober, sender } = this.#options;
     const running = this.#loadsRunning(hosts);
     const maxRate = this.#options.mayLoadFreely() ? Infinity : profile.loadsPerSecond;
     return {
       formations: this.#formations,
       dissolving: this.#rearrangement.dissolving,
-      stagings: this.#stagings.all,
+      stagings: this.#stagings.byHost,
       heads: this.#observer.heads,
       incompleteSince: this.#observer.incompleteSince,
-      silent: prober.silent,
-      slow: prober.slow,
-      justBack: prober.justBack,
-      unlisted: prober.unlisted,
-      beingAsked: this.#beingProbed(now),
-      entriesMayReturn: (this.#options.inTouchForMs() ?? 0) < ENTRIES_RETURN_MS,
+      unresponsiveHosts: prober.unresponsiveHosts,
+      slowHosts: prober.slowHosts,
+      recoveredHosts: prober.recoveredHosts,
+      unlistedHosts: prober.unlistedHosts,
+      hostsBeingProbed: this.#beingProbed(now),
+      entriesMayReturn: (this.#options.hostsWatchedForMs() ?? 0) < ENTRIES_RETURN_MS,
       lapsedDomains: this.#lapsedDomains.observe(domainHosts(hosts, this.#departed(), now), now),
       ...this.#domainUses.observe(hosts, now),
-      busy: sender.busy,
-      loadsLeft: this.#loadBudget.left(now, maxRate, profile.loadsAtOnce + EXTRA_LOADS, running),
+      busyHosts: sender.busyHosts,
+      loadsLeft: this.#loadBudget.availableLoads(
+        now,
+        maxRate,
+        profile.loadsAtOnce + EXTRA_LOADS,
+        running,
+      ),
     };
   }
 
   // In a formation of an earlier lease holder, only the hosts that have nothing staged are known to load.
   #loadsRunning(hosts: readonly HostEntry[]): number {
-    let running = this.#stagings.all.size;
+    let running = this.#stagings.byHost.size;
     for (const host of hosts) {
       const membership = host.membership;
       if (membership?.state === 'joining') {
@@ -231,13 +236,13 @@
     now: number,
   ): void {
     for (const group of groups) {
-      const repair = repairOf(group, profile, view.beliefs, now);
-      const planned = repair === undefined ? releaseOf(group, view.beliefs, now) : [repair];
+      const repair = planRepair(group, profile, view.known, now);
+      const planned = repair === undefined ? planRelease(group, view.known, now) : [repair];
       for (const order of planned) {
         this.#send(order, view, now);
       }
     }
-    if (!view.beliefs.entriesMayReturn) {
+    if (!view.known.entriesMayReturn) {
       this.#releaseDeparted(groups, view, now);
     }
   }
@@ -250,7 +255,7 @@
         continue;
       }
       const order: HostOrder = { kind: 'leave', group: group.name, epoch: group.epoch };
-      const stillAnswers = view.beliefs.unlisted.has(head.host.id);
+      const stillAnswers = view.known.unlistedHosts.has(head.host.id);
       if (stillAnswers) {
         this.#send({ host: head.host, order, reason: 'member-lost' }, view, now);
       }
@@ -264,12 +269,12 @@
     view: GuardView,
     now: number,
   ): void {
-    const fleet = fleetViewOf(hosts, groups, profile, view.beliefs);
+    const fleet = buildFleetView(hosts, groups, profile, view.known);
     const { size: forming } = this.#formations;
-    this.#capacityLog.note(groups, fleet, { forming, staging: this.#stagings.all.size });
+    this.#capacityLog.logIfChanged(groups, fleet, { forming, staging: this.#stagings.byHost.size });
     const areLoadsFree = this.#loadsAreFree();
-    const loads = areLoadsFree ? FREE_LOADS : NO_LOADS;
-    const planned = [...planFormations(fleet, loads), ...planIdleFormations(fleet, loads)];
+    const loads = areLoadsFree ? UNLIMITED_LOADS : NO_LOADS;
+    const planned = [...planFormations(fleet, loads), ...planEvacuatedFormations(fleet, loads)];
     for (const formation of planned) {
       this.#beginFormation(formation, view, now);
     }
@@ -277,9 +282,9 @@
       return;
     }
     if (!areLoadsFree) {
-      this.#rearrangement.look(fleet, now);
+      this.#rearrangement.update(fleet, now);
     }
-    this.#beginStagings(fleet, areLoadsFree ? Infinity : view.beliefs.loadsLeft, view, now);
+    this.#beginStagings(fleet, areLoadsFree ? Infinity : view.known.loadsLeft, view, now);
   }
 
   // Before the first request loads are fast and do not slow each other down, so groups are formed first, also of hosts
@@ -304,7 +309,7 @@
     const starts = planned.hosts.map(({ id, startedAt }) => ({ id, startedAt }));
     const formation = { group, epoch, model, members, starts, fabricDomain, deadline, loads };
     this.#formations.set(group, formation);
-    this.#loadBudget.note(now, loads);
+    this.#loadBudget.recordLoads(now, loads);
     log.info('formation begun', {
       group,
       model,
@@ -320,12 +325,12 @@
   }
 
   #beginStagings(fleet: FleetView, loadsLeft: number, view: GuardView, now: number): void {
-    const loadable = this.#stagings.loadable(fleet, now);
+    const loadable = this.#stagings.withoutHeldModels(fleet, now);
     const planned = planStagings(loadable, loadsLeft);
-    const idle = planIdleStagings(loadable, loadsLeft - planned.length);
+    const idle = planEvacuatedStagings(loadable, loadsLeft - planned.length);
     for (const { host, model } of [...planned, ...idle]) {
-      this.#stagings.begin(host, model, now);
-      this.#loadBudget.note(now);
+      this.#stagings.recordOrdered(host, model, now);
+      this.#loadBudget.recordLoads(now);
       this.#send({ host, order: { kind: 'stage', model: model.name }, reason: 'spare' }, view, now);
     }
   }
@@ -356,11 +361,11 @@
       this.#acceptedOrders.note(host, order, monotonicMs());
     }
     if (order.kind === 'leave' && accepted) {
-      this.#observer.noteLeft(order.group, host.id);
+      this.#observer.noteHeadLeft(order.group, host.id);
       this.#formations.delete(order.group);
     }
     if (order.kind === 'stage' && !accepted && outcome !== 'unanswered') {
-      this.#stagings.refused(host, order.model, monotonicMs());
+      this.#stagings.recordRejected(host, order.model, monotonicMs());
     }
     if (order.kind === 'join' && !accepted && outcome !== undefined) {
       this.#retryJoin(host, order);
--- a/packages/entry/src/groups/settling.ts
+++ b/packages/entry/src/groups/host-settling.ts
@@ -9,13 +9,13 @@
 const MAX_SETTLE_MS = 3_500;
 
 /** Tracks the growing number of hosts. */
-export class Settling {
+export class HostSettling {
   #maxHosts = 0;
   #firstHostAt: number | undefined;
   #lastIncreaseAt = -Infinity;
 
   /** True once groups may be formed; `now` is in monotonic milliseconds. */
-  isOver(hosts: number, now: number): boolean {
+  isSettled(hosts: number, now: number): boolean {
     if (hosts > this.#maxHosts) {
       this.#firstHostAt ??= now;
       this.#maxHosts = hosts;
--- a/packages/entry/src/groups/group-beliefs.ts
+++ b/packages/entry/src/groups/known-group-state.ts
@@ -41,7 +41,7 @@
 };
 
 /** The known state of a service's groups and hosts, by group name or host id. */
-export type GroupBeliefs = {
+export type KnownGroupState = {
   /** Formations under way, by group name. */
   readonly formations: ReadonlyMap<string, Formation>;
   /** Groups that are being dissolved to free hosts for others, with the start time (monotonic milliseconds). */
@@ -53,15 +53,15 @@
   /** When a group was first observed without all its members (monotonic milliseconds). */
   readonly incompleteSince: ReadonlyMap<string, number>;
   /** Hosts that did not answer a probe, with the time of that probe (monotonic milliseconds). */
-  readonly silent: ReadonlyMap<string, number>;
+  readonly unresponsiveHosts: ReadonlyMap<string, number>;
   /** Hosts that last reported that they are slow; a group runs at the pace of its slowest member. */
-  readonly slow: ReadonlySet<string>;
+  readonly slowHosts: ReadonlySet<string>;
   /** Hosts that have only just begun to answer probes again. */
-  readonly justBack: ReadonlySet<string>;
+  readonly recoveredHosts: ReadonlySet<string>;
   /** Hosts that answer probes although their entries have been removed, with their last entries. */
-  readonly unlisted: ReadonlyMap<string, HostEntry>;
+  readonly unlistedHosts: ReadonlyMap<string, HostEntry>;
   /** Hosts whose entries were removed so recently that the result of their probe is not known yet. */
-  readonly beingAsked: readonly HostEntry[];
+  readonly hostsBeingProbed: readonly HostEntry[];
   /** True shortly after an outage of the store: hosts without an entry may be running and write one soon. */
   readonly entriesMayReturn: boolean;
   /** Fabric domains that lack, or lacked until recently, most of the entries of their hosts. */
@@ -71,7 +71,7 @@
   /** True while the evacuation of a failure domain has ended so recently that its hosts may be cold. */
   readonly isReturning: boolean;
   /** Ids of hosts with an order under way. */
-  readonly busy: ReadonlySet<string>;
+  readonly busyHosts: ReadonlySet<string>;
   /** Number of loads from the weight store that may begin now. */
   readonly loadsLeft: number;
 };
--- a/packages/entry/src/groups/load-budget.ts
+++ b/packages/entry/src/groups/load-budget.ts
@@ -10,14 +10,19 @@
   }
 
   /** Records that loads have begun, or may have begun. */
-  note(now: number, loads = 1): void {
+  recordLoads(now: number, loads = 1): void {
     for (let load = 0; load < loads; load++) {
       this.#startTimes.push(now);
     }
   }
 
   /** The number of loads that may begin now; `running` loads are in progress. */
-  left(now: number, loadsPerSecond: number, loadsAtOnce: number, running: number): number {
+  availableLoads(
+    now: number,
+    loadsPerSecond: number,
+    loadsAtOnce: number,
+    running: number,
+  ): number {
     while (this.#startTimes.length > 0 && now - (this.#startTimes[0] ?? 0) > this.#windowMs) {
       this.#startTimes.shift();
     }
--- a/packages/entry/src/groups/load-crashes.test.ts
+++ b/packages/entry/src/groups/load-crashes.test.ts
@@ -7,7 +7,7 @@
 import { LoadCrashes } from './load-crashes.js';
 
 const LOAD_MS = 4_000;
-const NO_PROBED_HOSTS = { silent: new Map<string, number>(), unlisted: new Map() };
+const NO_PROBED_HOSTS = { unresponsiveHosts: new Map<string, number>(), unlistedHosts: new Map() };
 
 describe('loads that crash their hosts', () => {
   let crashes: LoadCrashes;
@@ -23,12 +23,12 @@
   function loadable(): readonly string[] {
     const models = ['m1', 'm2'].map(name => ({ name }));
     const fleet = { profile: { models } } as unknown as FleetView;
-    return crashes.loadable(fleet, now).profile.models.map(({ name }) => name);
+    return crashes.withoutHeldModels(fleet, now).profile.models.map(({ name }) => name);
   }
 
   function crash(model: string, fabricDomain = `d${nextHost}`): void {
     const host = testHost(`h${nextHost++}`, { fabricDomain });
-    crashes.noteLost({ model, host, since: now }, true, now + LOAD_MS);
+    crashes.noteHostLost({ model, host, since: now }, true, now + LOAD_MS);
     now += LOAD_MS;
   }
 
@@ -56,7 +56,7 @@
   it('do not count once a host has completed a load of the model', () => {
     crash('m1');
     crash('m1');
-    crashes.noteLoaded('m1');
+    crashes.noteLoadCompleted('m1');
     crash('m1');
     crash('m1');
     expect(loadable()).to.include('m1');
@@ -65,7 +65,7 @@
   it('count once where the hosts are lost at the same moment', () => {
     for (let index = 0; index < 5; index++) {
       const host = testHost(`h${index}`, { fabricDomain: `d${index}` });
-      crashes.noteLost({ model: 'm1', host, since: now - LOAD_MS }, true, now + index);
+      crashes.noteHostLost({ model: 'm1', host, since: now - LOAD_MS }, true, now + index);
     }
     expect(loadable()).to.include('m1');
   });
@@ -75,19 +75,25 @@
       testHost(id, { fabricDomain: `d${index}` }),
     );
     hosts.forEach(host => {
-      crashes.noteLost({ model: 'm1', host, since: now - LOAD_MS }, false, now);
+      crashes.noteHostLost({ model: 'm1', host, since: now - LOAD_MS }, false, now);
       now += 1_500;
     });
-    crashes.settle(
-      { ...NO_PROBED_HOSTS, unlisted: new Map(hosts.map(host => [host.id, host])) },
+    crashes.resolveLosses(
+      { ...NO_PROBED_HOSTS, unlistedHosts: new Map(hosts.map(host => [host.id, host])) },
+      now,
+    );
+    crashes.resolveLosses(
+      { ...NO_PROBED_HOSTS, unresponsiveHosts: new Map(hosts.map(({ id }) => [id, now])) },
       now,
     );
-    crashes.settle({ ...NO_PROBED_HOSTS, silent: new Map(hosts.map(({ id }) => [id, now])) }, now);
     expect(loadable()).to.include('m1');
     hosts.forEach(host => {
-      crashes.noteLost({ model: 'm1', host, since: now - LOAD_MS }, false, now);
+      crashes.noteHostLost({ model: 'm1', host, since: now - LOAD_MS }, false, now);
       now += 1_500;
-      crashes.settle({ ...NO_PROBED_HOSTS, silent: new Map([[host.id, now]]) }, now);
+      crashes.resolveLosses(
+        { ...NO_PROBED_HOSTS, unresponsiveHosts: new Map([[host.id, now]]) },
+        now,
+      );
     });
     expect(loadable()).to.not.include('m1');
   });
--- a/packages/entry/src/groups/load-crashes.ts
+++ b/packages/entry/src/groups/load-crashes.ts
@@ -23,11 +23,11 @@
 };
 
 /** Whether hosts whose entries were removed still answer probes, by host id. */
-export type LostHostBeliefs = {
+export type DepartedHostStatus = {
   /** Hosts that do not answer, with the time since when (monotonic milliseconds). */
-  readonly silent: ReadonlyMap<string, number>;
+  readonly unresponsiveHosts: ReadonlyMap<string, number>;
   /** Hosts that answer although their entries have been removed, with their last entries. */
-  readonly unlisted: ReadonlyMap<string, HostEntry>;
+  readonly unlistedHosts: ReadonlyMap<string, HostEntry>;
 };
 
 /** Crash score from which a model is held; the same as that from which a request is quarantined. */
@@ -61,7 +61,7 @@
   }
 
   /** Records that the entry of a loading host was removed, or shows a restart; `now` in monotonic milliseconds. */
-  noteLost(load: RunningLoad, hasRestarted: boolean, now: number): void {
+  noteHostLost(load: RunningLoad, hasRestarted: boolean, now: number): void {
     if (hasRestarted) {
       this.#noteCrash({ ...load, at: now });
     } else {
@@ -70,12 +70,15 @@
   }
 
   /** Records that a host has completed a load of the model, which clears the model's crashes. */
-  noteLoaded(model: string): void {
+  noteLoadCompleted(model: string): void {
     this.#models.delete(model);
   }
 
   /** Counts a crash for each lost host that does not answer, and drops those that answer or were not probed in time. */
-  settle({ silent, unlisted }: LostHostBeliefs, now: number): void {
+  resolveLosses(
+    { unresponsiveHosts: silent, unlistedHosts: unlisted }: DepartedHostStatus,
+    now: number,
+  ): void {
     const confirmed = this.#unconfirmedLosses.filter(({ host }) => silent.has(host.id));
     this.#unconfirmedLosses = this.#unconfirmedLosses.filter(
       ({ host, at }) => !silent.has(host.id) && !unlisted.has(host.id) && now - at < PROBE_WAIT_MS,
@@ -86,7 +89,7 @@
   }
 
   /** Returns the fleet without the models that are held now. */
-  loadable(fleet: FleetView, now: number): FleetView {
+  withoutHeldModels(fleet: FleetView, now: number): FleetView {
     const isHeld = (model: string): boolean => now < (this.#models.get(model)?.heldUntil ?? 0);
     const models = fleet.profile.models.filter(({ name }) => !isHeld(name));
     return models.length === fleet.profile.models.length
--- a/packages/entry/src/groups/member-prober.test.ts
+++ b/packages/entry/src/groups/member-prober.test.ts
@@ -28,32 +28,32 @@
       },
       log: silentLog(),
       counters: new Counters(),
-      changed: () => undefined,
+      onChange: () => undefined,
     });
-    prober.watchDeparted([{ entry: testHost('h', { startedAt }), since: 0 }]);
+    prober.probeDeparted([{ entry: testHost('h', { startedAt }), since: 0 }]);
     await new Promise(resolve => setTimeout(resolve, ANSWERED_MS));
     return prober;
   }
 
   it('counts as running when its process answers although its entry has been removed', async () => {
     const prober = await probe(10, report);
-    expect([...prober.unlisted.keys()]).to.deep.equal(['h']);
-    expect(prober.silent.size).to.equal(0);
+    expect([...prober.unlistedHosts.keys()]).to.deep.equal(['h']);
+    expect(prober.unresponsiveHosts.size).to.equal(0);
   });
 
   it('counts as lost when a later incarnation of it answers, which is not a member of the group', async () => {
     const prober = await probe(10, { ...report, startedAt: 20 });
-    expect(prober.unlisted.size).to.equal(0);
-    expect(prober.silent.has('h')).to.equal(true);
+    expect(prober.unlistedHosts.size).to.equal(0);
+    expect(prober.unresponsiveHosts.has('h')).to.equal(true);
   });
 
   it('counts as lost when no process answers', async () => {
     const prober = await probe(10);
-    expect(prober.silent.has('h')).to.equal(true);
+    expect(prober.unresponsiveHosts.has('h')).to.equal(true);
   });
 
   it('counts as the same incarnation where it does not report its start time', async () => {
-    expect((await probe(undefined, report)).unlisted.size).to.equal(1);
-    expect((await probe(10, { ...report, startedAt: undefined })).unlisted.size).to.equal(1);
+    expect((await probe(undefined, report)).unlistedHosts.size).to.equal(1);
+    expect((await probe(10, { ...report, startedAt: undefined })).unlistedHosts.size).to.equal(1);
   });
 });
--- a/packages/entry/src/groups/member-prober.ts
+++ b/packages/entry/src/groups/member-prober.ts
@@ -12,7 +12,7 @@
   readonly log: Log;
   readonly counters: Counters;
   /** Called when a host has begun or ceased to answer, or to be slow. */
-  readonly changed: () => void;
+  readonly onChange: () => void;
 };
 
 /** Timeout of each of the two requests of a probe, in milliseconds. */
@@ -54,17 +54,17 @@
   }
 
   /** Hosts that answered neither request of a probe, with the time since when (monotonic milliseconds). */
-  get silent(): ReadonlyMap<string, number> {
+  get unresponsiveHosts(): ReadonlyMap<string, number> {
     return this.#unresponsive;
   }
 
   /** Hosts that reported at their last probe that they are slow. */
-  get slow(): ReadonlySet<string> {
+  get slowHosts(): ReadonlySet<string> {
     return this.#slow;
   }
 
   /** Hosts that have just begun to answer again; the known state of the other hosts in their groups may be stale. */
-  get justBack(): ReadonlySet<string> {
+  get recoveredHosts(): ReadonlySet<string> {
     const earliest = monotonicMs() - JUST_RECOVERED_MS;
     for (const [id, since] of this.#recoveredAt) {
       if (since < earliest) {
@@ -75,7 +75,7 @@
   }
 
   /** Hosts that answered their last probe, with the entries that they were probed by, even if removed since. */
-  get unlisted(): ReadonlyMap<string, HostEntry> {
+  get unlistedHosts(): ReadonlyMap<string, HostEntry> {
     return this.#unlisted;
   }
 
@@ -87,7 +87,7 @@
   }
 
   /** Probes the hosts whose entries have been removed, and forgets the answers of all other hosts. */
-  watchDeparted(departed: readonly DepartedHost[]): void {
+  probeDeparted(departed: readonly DepartedHost[]): void {
     const ids = new Set(departed.map(host => host.entry.id));
     for (const id of this.#unlisted.keys()) {
       if (!ids.has(id)) {
@@ -155,11 +155,11 @@
       group: host.membership?.group,
       pace,
     });
-    this.#options.changed();
+    this.#options.onChange();
   }
 
   #recordAnswer(host: HostEntry, answers: boolean): void {
-    const { log, changed } = this.#options;
+    const { log, onChange: changed } = this.#options;
     if (answers) {
       this.#unlisted.set(host.id, host);
     } else {
--- a/packages/entry/src/groups/order-guard.test.ts
+++ b/packages/entry/src/groups/order-guard.test.ts
@@ -6,7 +6,7 @@
 import fc from 'fast-check';
 
 import type { HostEntry, MembershipState } from '../hosts/host-entry.js';
-import { testBeliefs, testHost } from '../testing/groups.js';
+import { testHost, testKnownState } from '../testing/groups.js';
 import type { HostOrder } from './host-orders.js';
 import type { GuardView } from './order-guard.js';
 import { refuseOrder } from './order-guard.js';
@@ -16,7 +16,7 @@
 function viewOf(hosts: readonly HostEntry[], change: Partial<GuardView> = {}): GuardView {
   return {
     hosts,
-    beliefs: testBeliefs(),
+    known: testKnownState(),
     sizeOf: () => MODEL_SIZE,
     ...change,
   };
@@ -48,7 +48,7 @@
     const follower = member('b', 1, 'ready');
     const head = member('a', 0, 'open');
     const heads = new Map([['g', { host: head, missingSince: undefined, left: false }]]);
-    const serving = viewOf([head, follower], { beliefs: testBeliefs({ heads }) });
+    const serving = viewOf([head, follower], { known: testKnownState({ heads }) });
     expect(refuseOrder(follower, JOIN, serving)).to.equal('still-in-group');
     expect(refuseOrder(head, JOIN, serving)).to.equal('still-in-group');
   });
@@ -60,7 +60,7 @@
     const longMissing = new Map([['g', { host, missingSince: 8_000, left: false }]]);
     const brieflyMissing = new Map([['g', { host, missingSince: 9_500, left: false }]]);
     const refusal = (heads: typeof left): unknown =>
-      refuseOrder(follower, JOIN, viewOf([follower], { beliefs: testBeliefs({ heads }) }));
+      refuseOrder(follower, JOIN, viewOf([follower], { known: testKnownState({ heads }) }));
     expect(refusal(left)).to.equal(undefined);
     expect(refusal(longMissing)).to.equal('still-in-group');
     expect(refusal(brieflyMissing)).to.equal('still-in-group');
@@ -106,13 +106,13 @@
         const missingSince =
           knownHead.missingForMs === undefined ? undefined : 10_000 - knownHead.missingForMs;
         const host = member('a', 0, 'open');
-        const known = testBeliefs({
+        const known = testKnownState({
           heads: new Map([['g', { host, missingSince, left: knownHead.left }]]),
         });
         const follower = member('b', 1, 'ready');
         const order: HostOrder = { ...JOIN, epoch } as HostOrder;
         const allowed =
-          refuseOrder(follower, order, viewOf([follower], { beliefs: known })) === undefined;
+          refuseOrder(follower, order, viewOf([follower], { known: known })) === undefined;
         const isReleased = knownHead.left;
         expect(allowed).to.equal(isReleased && epoch > 1);
       }),
--- a/packages/entry/src/groups/order-guard.ts
+++ b/packages/entry/src/groups/order-guard.ts
@@ -3,9 +3,9 @@
  * can open a group that lacks a member or take a host out of a group that may still serve.
  */
 import type { HostEntry } from '../hosts/host-entry.js';
-import { isReleased } from './free-hosts.js';
-import type { GroupBeliefs } from './group-beliefs.js';
+import { hasHeadLeft } from './free-hosts.js';
 import type { HostOrder } from './host-orders.js';
+import type { KnownGroupState } from './known-group-state.js';
 
 /** The reason for which the guard refuses an order. */
 export type GuardRefusal =
@@ -21,7 +21,7 @@
 export type GuardView = {
   /** Current entries of the service's hosts. */
   readonly hosts: readonly HostEntry[];
-  readonly beliefs: GroupBeliefs;
+  readonly known: KnownGroupState;
   /** Number of hosts in a group that serves the model; undefined for an unknown model. */
   readonly sizeOf: (model: string) => number | undefined;
 };
@@ -95,5 +95,5 @@
   if (membership.rank === 0) {
     return 'still-in-group';
   }
-  return isReleased(membership.group, view.beliefs) ? undefined : 'still-in-group';
+  return hasHeadLeft(membership.group, view.known) ? undefined : 'still-in-group';
 }
--- a/packages/entry/src/groups/order-places.test.ts
+++ b/packages/entry/src/groups/order-limiter.test.ts
@@ -1,11 +1,11 @@
 import { expect } from 'chai';
 
 import { sleep } from '../server/time.js';
-import { OrderPlaces } from './order-places.js';
+import { OrderLimiter } from './order-limiter.js';
 
 describe('order limiter', () => {
   it('bounds how many orders are under way at once, whether they succeed or fail', async () => {
-    const limiter = new OrderPlaces();
+    const limiter = new OrderLimiter();
     let [underWay, most] = [0, 0];
     const outcomes = Array.from({ length: 1_000 }, (_, index) =>
       limiter
--- a/packages/entry/src/groups/order-places.ts
+++ b/packages/entry/src/groups/order-limiter.ts
@@ -8,7 +8,7 @@
 const MAX_CONCURRENT_ORDERS = 100;
 
 /** Runs at most {@link MAX_CONCURRENT_ORDERS} calls at the same time; further calls wait in the order of arrival. */
-export class OrderPlaces {
+export class OrderLimiter {
   readonly #waiting: (() => void)[] = [];
   #running = 0;
 
--- a/packages/entry/src/groups/order-protocol.test.ts
+++ b/packages/entry/src/groups/order-protocol.test.ts
@@ -10,12 +10,12 @@
 import type { EngineProfile } from '../configuration/serving-configuration.js';
 import type { HostEntry, Membership } from '../hosts/host-entry.js';
 import { incarnationOf } from '../hosts/host-entry.js';
-import { testBeliefs, testHost } from '../testing/groups.js';
-import type { GroupBeliefs } from './group-beliefs.js';
+import { testHost, testKnownState } from '../testing/groups.js';
 import { GroupObserver } from './group-observer.js';
 import type { HostOrder } from './host-orders.js';
+import type { KnownGroupState } from './known-group-state.js';
 import { refuseOrder } from './order-guard.js';
-import { replicaGroups } from './replica-groups.js';
+import { collectReplicaGroups } from './replica-groups.js';
 
 const HOSTS = 4;
 const GROUP_SIZE = 2;
@@ -87,11 +87,11 @@
 
   observe(view: readonly HostEntry[]): void {
     this.view = view;
-    this.observer.observe(replicaGroups(view), PROFILE, 0);
+    this.observer.observe(collectReplicaGroups(view), PROFILE, 0);
   }
 
-  knownState(): GroupBeliefs {
-    return testBeliefs({ heads: this.observer.heads });
+  knownState(): KnownGroupState {
+    return testKnownState({ heads: this.observer.heads });
   }
 }
 
@@ -163,7 +163,7 @@
   }
 
   #orderHead(holder: LeaseHolder, pick: number, kind: 'open' | 'leave'): void {
-    const groups = replicaGroups(holder.view);
+    const groups = collectReplicaGroups(holder.view);
     const group = groups[pick % Math.max(1, groups.length)];
     const head = this.hosts.find(host => host.id === group?.head?.id);
     if (group !== undefined && head !== undefined) {
@@ -193,7 +193,7 @@
     }
     const view = {
       hosts: holder.view,
-      beliefs: holder.knownState(),
+      known: holder.knownState(),
       sizeOf: () => GROUP_SIZE,
     };
     if (this.#protections.guard && refuseOrder(entry, order, view) !== undefined) {
--- a/packages/entry/src/groups/order-sender.ts
+++ b/packages/entry/src/groups/order-sender.ts
@@ -1,13 +1,13 @@
 /** Sends orders, at most one at a time to each host, and tracks the order sequence that each host expects. */
 import type { HostEntry } from '../hosts/host-entry.js';
 import { isSameStart } from '../hosts/host-entry.js';
-import { StartMemory } from '../hosts/start-memory.js';
+import { HostStartMap } from '../hosts/host-start-map.js';
 import type { Log } from '../server/log.js';
 import type { Counters } from '../server/metrics.js';
 import { sleep } from '../server/time.js';
-import type { OrderReason } from './group-beliefs.js';
 import type { HostOrder, HostOrders, HostReport, OrderOutcome } from './host-orders.js';
-import { OrderPlaces } from './order-places.js';
+import type { OrderReason } from './known-group-state.js';
+import { OrderLimiter } from './order-limiter.js';
 
 /** Timeout of a request for a host's report, in milliseconds. */
 const REPORT_TIMEOUT_MS = 300;
@@ -22,10 +22,10 @@
   readonly #log: Log;
   readonly #counters: Counters;
   readonly #holdsTerm: (term: number) => boolean;
-  readonly #limiter = new OrderPlaces();
+  readonly #limiter = new OrderLimiter();
   readonly #busy = new Set<string>();
   /** Kept by host incarnation, because a restarted process begins its sequence at 0. */
-  readonly #sequences = new StartMemory<KnownSequence>();
+  readonly #sequences = new HostStartMap<KnownSequence>();
 
   /** `holdsTerm` returns true while this process holds the lease in the given term. */
   constructor(
@@ -41,7 +41,7 @@
   }
 
   /** Ids of hosts with an order under way. */
-  get busy(): ReadonlySet<string> {
+  get busyHosts(): ReadonlySet<string> {
     return this.#busy;
   }
 
--- a/packages/entry/src/groups/plans.test.ts
+++ b/packages/entry/src/groups/plans.test.ts
@@ -6,12 +6,12 @@
 import type { HostEntry } from '../hosts/host-entry.js';
 import { testHost } from '../testing/groups.js';
 import { CapacityValue } from './capacity-value.js';
-import { planIdleFormations, planIdleStagings } from './evacuated-plan.js';
+import { planDissolution } from './dissolution-plan.js';
+import { planEvacuatedFormations, planEvacuatedStagings } from './evacuated-domain-plan.js';
 import type { FleetDomain, FleetView, PlacedGroup } from './fleet-view.js';
-import { mostUsable } from './fleet-view.js';
-import { FREE_LOADS, NO_LOADS, planFormations } from './formation-plan.js';
+import { maxUsableHosts } from './fleet-view.js';
+import { NO_LOADS, planFormations, UNLIMITED_LOADS } from './formation-plan.js';
 import { LoadBudget } from './load-budget.js';
-import { planDissolution } from './rearrangement-plan.js';
 import { planStagings } from './staging-plan.js';
 
 const LARGE: GroupModel = {
@@ -66,9 +66,9 @@
     domains,
     evacuated: [],
     isReturning: false,
-    lapsed: new Set(),
-    stagingNow: () => undefined,
-    slow: new Set(),
+    lapsedDomains: new Set(),
+    stagingModelOf: () => undefined,
+    slowHosts: new Set(),
   };
 }
 
@@ -98,9 +98,9 @@
 
 describe('usable hosts', () => {
   it('are the largest sum of group sizes that fits', () => {
-    expect(mostUsable(7, [4, 2])).to.equal(6);
-    expect(mostUsable(8, [5, 3])).to.equal(8);
-    expect(mostUsable(3, [4])).to.equal(0);
+    expect(maxUsableHosts(7, [4, 2])).to.equal(6);
+    expect(maxUsableHosts(8, [5, 3])).to.equal(8);
+    expect(maxUsableHosts(3, [4])).to.equal(0);
   });
 });
 
@@ -110,7 +110,7 @@
     const later = planFormations(view, NO_LOADS);
     expect(modelsOf(later)).to.deep.equal(['large']);
     expect(later[0]?.loads).to.equal(0);
-    expect(modelsOf(planFormations(view, FREE_LOADS))).to.include('small');
+    expect(modelsOf(planFormations(view, UNLIMITED_LOADS))).to.include('small');
   });
 
   it('leaves room for a large model without a group', () => {
@@ -119,7 +119,7 @@
       { ...SMALL, workShare: 0.95 },
     ];
     const view = { ...fleet(domain('d0', hosts(8)), domain('d1', hosts(8))) };
-    const planned = planFormations({ ...view, profile: { ...PROFILE, models } }, FREE_LOADS);
+    const planned = planFormations({ ...view, profile: { ...PROFILE, models } }, UNLIMITED_LOADS);
     expect(modelsOf(planned)).to.include.members(['large', 'small']);
   });
 
@@ -132,7 +132,7 @@
       cold(0, host('large', 'small')),
     ];
     const free = [...chosen, ...hosts(1, 'large').map(one => cold(0, one))];
-    for (const planned of planFormations(fleet(domain('d0', free)), FREE_LOADS)) {
+    for (const planned of planFormations(fleet(domain('d0', free)), UNLIMITED_LOADS)) {
       const left = planned.hosts.map(member => member.coldLeftMs);
       expect(left[0]).to.equal(Math.min(...left));
     }
@@ -152,7 +152,7 @@
             models.map(model => host(model)),
           ),
         );
-        const planned = planFormations(fleet(...domains), FREE_LOADS);
+        const planned = planFormations(fleet(...domains), UNLIMITED_LOADS);
         const taken = planned.flatMap(formation => formation.hosts);
         expect(new Set(taken).size).to.equal(taken.length);
         for (const formation of planned) {
@@ -212,8 +212,8 @@
     const manyLarge = Array.from({ length: 8 }, () => group(LARGE));
     const view = fleet(domain('d0', hosts(3, 'small', 'large'), [group(LARGE), group(SMALL)]));
     const withEvacuated = { ...view, evacuated: [inOtherFailureDomain([], manyLarge)] };
-    expect(planFormations(withEvacuated, FREE_LOADS)).to.deep.equal(
-      planFormations(view, FREE_LOADS),
+    expect(planFormations(withEvacuated, UNLIMITED_LOADS)).to.deep.equal(
+      planFormations(view, UNLIMITED_LOADS),
     );
     expect(planStagings(withEvacuated, 6)).to.deep.equal(planStagings(view, 6));
   });
@@ -229,21 +229,21 @@
   it('form groups of its free hosts without using hosts of other domains', () => {
     const evacuated = inOtherFailureDomain(hosts(4, 'large', 'large'));
     const view = { ...fleet(domain('d0', hosts(3), [group(SMALL)])), evacuated: [evacuated] };
-    const planned = planIdleFormations(view, NO_LOADS);
+    const planned = planEvacuatedFormations(view, NO_LOADS);
     expect(modelsOf(planned)).to.deep.equal(['large']);
     expect(planned[0]?.hosts.every(member => evacuated.free.includes(member))).to.equal(true);
   });
 
   it('leave at least half of the remaining loads to the domains in use', () => {
     const view = { ...fleet(domain('d0', [])), evacuated: [inOtherFailureDomain(hosts(16))] };
-    expect(planIdleStagings(view, 1)).to.deep.equal([]);
-    expect(planIdleStagings(view, 6)).to.have.length(3);
+    expect(planEvacuatedStagings(view, 1)).to.deep.equal([]);
+    expect(planEvacuatedStagings(view, 6)).to.have.length(3);
   });
 
   it('stage in it only what completes a group', () => {
     const evacuated = inOtherFailureDomain(hosts(1), [group(LARGE), group(SMALL)]);
     expect(
-      planIdleStagings({ ...fleet(domain('d0', [])), evacuated: [evacuated] }, 6),
+      planEvacuatedStagings({ ...fleet(domain('d0', [])), evacuated: [evacuated] }, 6),
     ).to.deep.equal([]);
   });
 
@@ -268,11 +268,13 @@
         );
         const left = inOtherFailureDomain(evacuated.map(model => host(model)));
         const view = { ...fleet(used), evacuated: [left] };
-        const formed = planFormations(view, FREE_LOADS).flatMap(formation => formation.hosts);
+        const formed = planFormations(view, UNLIMITED_LOADS).flatMap(formation => formation.hosts);
         const staging = planStagings(view, 6).map(planned => planned.host);
         expect([...formed, ...staging].every(one => used.free.includes(one))).to.equal(true);
-        const evacuatedFormed = planIdleFormations(view, FREE_LOADS).flatMap(({ hosts: of }) => of);
-        const evacuatedStaging = planIdleStagings(view, 6).map(planned => planned.host);
+        const evacuatedFormed = planEvacuatedFormations(view, UNLIMITED_LOADS).flatMap(
+          ({ hosts: of }) => of,
+        );
+        const evacuatedStaging = planEvacuatedStagings(view, 6).map(planned => planned.host);
         expect(
           [...evacuatedFormed, ...evacuatedStaging].every(one => left.free.includes(one)),
         ).to.equal(true);
@@ -326,7 +328,7 @@
     const planned = planStagings(view, 6).map(({ host: one }) => one);
     expect(planned, 'copies are evicted otherwise').to.include.members(back);
     const lapsed = new Set(['d0']);
-    const loads = planStagings({ ...view, lapsed }, 6).map(({ host: one }) => one);
+    const loads = planStagings({ ...view, lapsedDomains: lapsed }, 6).map(({ host: one }) => one);
     expect(loads.filter(one => back.includes(one))).to.deep.equal([]);
   });
 
@@ -337,7 +339,7 @@
       const view = fleet(domain('d0', [...staged, staging]), domain('d1', [], [group(SMALL)]));
       const stagingNow = (id: string): string | undefined =>
         id === staging.id ? 'large' : undefined;
-      const planned = planStagings({ ...view, stagingNow }, 6);
+      const planned = planStagings({ ...view, stagingModelOf: stagingNow }, 6);
       return planned.filter(({ host: one }) => staged.includes(one)).length;
     };
     expect(evictedCopies(LARGE.size - 1)).to.equal(0);
@@ -377,8 +379,8 @@
         let now = 0;
         for (const step of steps) {
           now += step;
-          const left = budget.left(now, 4, Infinity, 0);
-          budget.note(now, left);
+          const left = budget.availableLoads(now, 4, Infinity, 0);
+          budget.recordLoads(now, left);
           begun.push(...Array.from({ length: left }, () => now));
         }
         for (const start of begun) {
--- a/packages/entry/src/groups/replica-groups.ts
+++ b/packages/entry/src/groups/replica-groups.ts
@@ -15,7 +15,7 @@
 };
 
 /** Collects the groups that the hosts of one service are members of. */
-export function replicaGroups(hosts: readonly HostEntry[]): readonly ReplicaGroup[] {
+export function collectReplicaGroups(hosts: readonly HostEntry[]): readonly ReplicaGroup[] {
   const byName = new Map<string, HostEntry[]>();
   for (const host of hosts) {
     if (host.membership !== undefined) {
--- a/packages/entry/src/groups/running-stagings.ts
+++ b/packages/entry/src/groups/running-stagings.ts
@@ -3,14 +3,14 @@
 import type { DepartedHost, HostEntry } from '../hosts/host-entry.js';
 import type { Log } from '../server/log.js';
 import type { FleetView } from './fleet-view.js';
-import type { Staging } from './group-beliefs.js';
-import { hasRestarted } from './group-beliefs.js';
-import type { LostHostBeliefs } from './load-crashes.js';
+import type { Staging } from './known-group-state.js';
+import { hasRestarted } from './known-group-state.js';
+import type { DepartedHostStatus } from './load-crashes.js';
 import { LoadCrashes } from './load-crashes.js';
 
 /** Dependencies of {@link RunningStagings}. */
 export type RunningStagingsOptions = {
-  readonly beliefs: LostHostBeliefs;
+  readonly hostReachability: DepartedHostStatus;
   readonly departed: () => readonly DepartedHost[];
   readonly log: Log;
 };
@@ -33,30 +33,30 @@
   }
 
   /** All stagings by host id. */
-  get all(): ReadonlyMap<string, Staging> {
+  get byHost(): ReadonlyMap<string, Staging> {
     return this.#stagings;
   }
 
   /** Records that a staging has been ordered. */
-  begin(host: HostEntry, { name, loadMs }: GroupModel, now: number): void {
+  recordOrdered(host: HostEntry, { name, loadMs }: GroupModel, now: number): void {
     const deadline = now + loadMs * LOAD_SLACK_FACTOR + STAGING_SLACK_MS;
     this.#stagings.set(host.id, { model: name, host, since: now, deadline });
   }
 
   /** Records that the host has not accepted the staging. */
-  refused(host: HostEntry, model: string, now: number): void {
+  recordRejected(host: HostEntry, model: string, now: number): void {
     this.#stagings.set(host.id, { model, since: now, deadline: now + STAGING_RETRY_MS });
   }
 
   /** Removes stagings that are done, lost or overdue according to the current entries. */
-  observe(hosts: readonly HostEntry[], now: number): void {
+  update(hosts: readonly HostEntry[], now: number): void {
     const entries = new Map(hosts.map(host => [host.id, host]));
     for (const [id, staging] of this.#stagings) {
       const entry = entries.get(id);
       const isDone = entry?.stagedModels.includes(staging.model) === true;
       const isOver = isDone || entry === undefined || hasRestarted(staging.host, entry);
       if (isDone) {
-        this.#crashes.noteLoaded(staging.model);
+        this.#crashes.noteLoadCompleted(staging.model);
       } else if (isOver) {
         this.#recordLost(staging, entry !== undefined, now);
       }
@@ -64,12 +64,12 @@
         this.#stagings.delete(id);
       }
     }
-    this.#crashes.settle(this.#options.beliefs, now);
+    this.#crashes.resolveLosses(this.#options.hostReachability, now);
   }
 
   /** The view without the models whose loads are held back because they crash the hosts. */
-  loadable(fleet: FleetView, now: number): FleetView {
-    return this.#crashes.loadable(fleet, now);
+  withoutHeldModels(fleet: FleetView, now: number): FleetView {
+    return this.#crashes.withoutHeldModels(fleet, now);
   }
 
   /** Removes the stagings of an earlier term. */
@@ -81,7 +81,7 @@
   #recordLost({ model, host, since }: Staging, isRestart: boolean, now: number): void {
     const departed = this.#options.departed().find(({ entry }) => entry.id === host?.id);
     if (host !== undefined && (isRestart || departed?.entry.accepting !== false)) {
-      this.#crashes.noteLost({ model, host, since }, isRestart, now);
+      this.#crashes.noteHostLost({ model, host, since }, isRestart, now);
     }
   }
 }
--- a/packages/entry/src/groups/slow-members.test.ts
+++ b/packages/entry/src/groups/slow-members.test.ts
@@ -6,7 +6,7 @@
 import { testHost } from '../testing/groups.js';
 import type { FleetDomain, FleetView, PlacedGroup } from './fleet-view.js';
 import { NO_LOADS, planFormations } from './formation-plan.js';
-import { planSlowReplacements } from './slow-members.js';
+import { planSlowMemberReplacements } from './slow-members.js';
 
 const MODEL: GroupModel = {
   name: 'm',
@@ -39,14 +39,14 @@
     domains: [domain],
     evacuated: [],
     isReturning: false,
-    lapsed: new Set(),
-    stagingNow: () => undefined,
-    slow: new Set(slow),
+    lapsedDomains: new Set(),
+    stagingModelOf: () => undefined,
+    slowHosts: new Set(slow),
   };
 }
 
 function dissolved(view: FleetView): readonly string[] {
-  return planSlowReplacements(view).map(({ name }) => name);
+  return planSlowMemberReplacements(view).map(({ name }) => name);
 }
 
 describe('slow members', () => {
--- a/packages/entry/src/groups/slow-members.ts
+++ b/packages/entry/src/groups/slow-members.ts
@@ -7,11 +7,11 @@
  */
 import type { GroupModel } from '../configuration/serving-configuration.js';
 import type { FleetDomain, FleetView, PlacedGroup } from './fleet-view.js';
-import { warmMsOf } from './fleet-view.js';
+import { joinMsWithoutLoad } from './fleet-view.js';
 
 /** Serving groups to be dissolved; their other members and free hosts form new groups in their place. */
-export function planSlowReplacements(view: FleetView): readonly PlacedGroup[] {
-  if (view.slow.size === 0) {
+export function planSlowMemberReplacements(view: FleetView): readonly PlacedGroup[] {
+  if (view.slowHosts.size === 0) {
     return [];
   }
   return view.domains.flatMap(domain => replaceableGroupsIn(domain, view));
@@ -20,7 +20,7 @@
 function replaceableGroupsIn(domain: FleetDomain, view: FleetView): readonly PlacedGroup[] {
   let reserved = 0;
   return domain.groups.filter(group => {
-    const slowCount = group.members.filter(host => view.slow.has(host.id)).length;
+    const slowCount = group.members.filter(host => view.slowHosts.has(host.id)).length;
     const model = view.profile.models.find(candidate => candidate.name === group.model);
     if (slowCount === 0 || !group.dissolvable || model === undefined) {
       return false;
@@ -33,6 +33,6 @@
 
 function countReadyFreeHosts(domain: FleetDomain, model: GroupModel, view: FleetView): number {
   return domain.free.filter(
-    host => !view.slow.has(host.id) && warmMsOf(host, model, view) !== undefined,
+    host => !view.slowHosts.has(host.id) && joinMsWithoutLoad(host, model, view) !== undefined,
   ).length;
 }
--- a/packages/entry/src/groups/staging-plan.ts
+++ b/packages/entry/src/groups/staging-plan.ts
@@ -16,7 +16,7 @@
 import type { CapacityValue } from './capacity-value.js';
 import { fabricDomainOf } from './fabric-domain.js';
 import type { FleetDomain, FleetView } from './fleet-view.js';
-import { valueOf, willHave } from './fleet-view.js';
+import { capacityValueOf, isOrWillBeReady } from './fleet-view.js';
 
 /** A host and the model that it is to stage. */
 export type PlannedStaging = { readonly host: HostEntry; readonly model: GroupModel };
@@ -61,11 +61,11 @@
   best: (view: FleetView, value: CapacityValue) => Candidate | undefined,
 ): readonly PlannedStaging[] {
   const planned: PlannedStaging[] = [];
-  const value = valueOf(view);
+  const value = capacityValueOf(view);
   const plannedModels = new Map<string, string>();
   const stagingNow = (id: string): string | undefined =>
-    plannedModels.get(id) ?? view.stagingNow(id);
-  const planning: FleetView = { ...view, stagingNow };
+    plannedModels.get(id) ?? view.stagingModelOf(id);
+  const planning: FleetView = { ...view, stagingModelOf: stagingNow };
   while (planned.length < loadsLeft) {
     const next = best(planning, value);
     if (next === undefined) {
@@ -116,7 +116,7 @@
   model: GroupModel,
   value: CapacityValue,
 ): readonly Candidate[] {
-  const readyCount = domain.free.filter(host => willHave(host, model, view)).length;
+  const readyCount = domain.free.filter(host => isOrWillBeReady(host, model, view)).length;
   const missing = model.size - (readyCount % model.size);
   const stageable = domain.free.filter(host => canStage(host, model, view));
   if (stageable.length < missing) {
@@ -144,7 +144,7 @@
   model: GroupModel,
 ): readonly GroupModel[] {
   return view.profile.models.filter(other => {
-    const readyCount = domain.free.filter(host => willHave(host, other, view)).length;
+    const readyCount = domain.free.filter(host => isOrWillBeReady(host, other, view)).length;
     return other !== model && readyCount > 0 && readyCount % other.size === 0;
   });
 }
@@ -169,7 +169,7 @@
   value: CapacityValue,
 ): readonly Candidate[] {
   const ready = (hosts: readonly HostEntry[]): number =>
-    hosts.filter(host => willHave(host, model, view)).length;
+    hosts.filter(host => isOrWillBeReady(host, model, view)).length;
   const groups = domain.groups
     .filter(group => group.dissolvable && group.model !== model.name)
     .sort((a, b) => ready(b.members) - ready(a.members));
@@ -229,7 +229,7 @@
     }
   }
   const others = sources.flatMap(source => source.hosts);
-  const readyCount = others.filter(host => willHave(host, model, view)).length;
+  const readyCount = others.filter(host => isOrWillBeReady(host, model, view)).length;
   const weight = probability * Math.pow(FURTHER_REPLACEMENT_WEIGHT, readyCount);
   return sources.flatMap(({ hosts, netGain }) => {
     const stageable = hosts.filter(host => canStageWithoutEviction(host, model, view));
@@ -250,7 +250,7 @@
     if (!group.dissolvable || group.model === model.name || left < model.size) {
       return [];
     }
-    const readyCount = group.members.filter(host => willHave(host, model, view)).length;
+    const readyCount = group.members.filter(host => isOrWillBeReady(host, model, view)).length;
     const host = group.members.find(member => canStageWithoutEviction(member, model, view));
     // One host more than the model needs, since any of the members may be the lost one.
     if (host === undefined || readyCount > model.size) {
@@ -262,8 +262,8 @@
 }
 
 function canStage(host: HostEntry, model: GroupModel, view: FleetView): boolean {
-  const isIdle = view.stagingNow(host.id) === undefined;
-  return isIdle && !willHave(host, model, view) && !isReturningWithCopy(host, view);
+  const isIdle = view.stagingModelOf(host.id) === undefined;
+  return isIdle && !isOrWillBeReady(host, model, view) && !isReturningWithCopy(host, view);
 }
 
 // True when the host has a copy and belongs to a fabric domain whose entries are returning after it was cut off. The
@@ -271,7 +271,7 @@
 // would take many seconds and evict the copy with which their group could be formed at once.
 function isReturningWithCopy(host: HostEntry, view: FleetView): boolean {
   const hasCopy = host.lastModel !== undefined || host.stagedModels.length > 0;
-  return hasCopy && view.lapsed.has(fabricDomainOf(host));
+  return hasCopy && view.lapsedDomains.has(fabricDomainOf(host));
 }
 
 // True when the host can stage the model without evicting a copy that may be needed. Copies are evicted only to
--- a/packages/entry/src/hosts/host-entry.ts
+++ b/packages/entry/src/hosts/host-entry.ts
@@ -62,13 +62,13 @@
 }
 
 /** Result of parsing a host's entry. */
-export type HostReading =
+export type HostParseResult =
   | { readonly kind: 'host'; readonly entry: HostEntry }
   /** The entry describes no usable host; `reason` says why, for the log. */
   | { readonly kind: 'unreadable'; readonly reason: string };
 
 /** Result for an entry that cannot be parsed. */
-export function unreadableHost(reason: string): HostReading {
+export function unreadableHost(reason: string): HostParseResult {
   return { kind: 'unreadable', reason };
 }
 
--- a/packages/entry/src/hosts/host-registry.ts
+++ b/packages/entry/src/hosts/host-registry.ts
@@ -7,9 +7,9 @@
 import { monotonicMs } from '../server/time.js';
 import type { ObjectChange, ObjectList, StoredObject } from '../store/object-store.js';
 import type { StateOrder } from '../store/restored-list.js';
-import type { DepartedHost, HostEntry, HostIncarnation, HostReading } from './host-entry.js';
+import type { DepartedHost, HostEntry, HostIncarnation, HostParseResult } from './host-entry.js';
 import { incarnationOf, isSameStart } from './host-entry.js';
-import { StartMemory } from './start-memory.js';
+import { HostStartMap } from './host-start-map.js';
 
 /** Events of the registry. */
 export type HostMessages = {
@@ -20,13 +20,13 @@
 };
 
 /** Parses a host from the value of its object, whatever that is; does not throw. */
-export type HostReader = (id: string, value: unknown) => HostReading;
+export type HostParser = (id: string, value: unknown) => HostParseResult;
 
 /** An entry that cannot be parsed. */
 type UnreadableEntry = { readonly id: string; readonly revision: number; readonly reason: string };
 
 /** An entry that was received and applied. */
-export type TakenEntry = {
+export type AppliedEntry = {
   readonly entry: HostEntry;
   /** Revision of the store at which it was written. */
   readonly revision: number;
@@ -39,7 +39,7 @@
 
 /** The changes from one answer of the store or a peer. */
 export type HostBatch = {
-  readonly taken: readonly TakenEntry[];
+  readonly applied: readonly AppliedEntry[];
   /** Hosts that were removed, and earlier starts of hosts whose process has restarted under the same id. */
   readonly departed: readonly HostEntry[];
 };
@@ -52,22 +52,22 @@
 /** The upstream hosts, by id and by service. */
 export class HostRegistry {
   readonly messages = new Emittery<HostMessages>();
-  readonly #parse: HostReader;
+  readonly #parse: HostParser;
   readonly #log: Log;
   readonly #onBatch: (batch: HostBatch) => void;
   readonly #counters: Counters | undefined;
   readonly #hosts = new Map<string, HostEntry>();
   readonly #revisions = new Map<string, number>();
   readonly #departed = new Map<string, DepartedHost>();
-  /** Starts of hosts that have announced their shutdown; see {@link noteLeaving}. */
-  readonly #leaving = new StartMemory<true>();
+  /** Starts of hosts that have announced their shutdown; see {@link recordShutdown}. */
+  readonly #leaving = new HostStartMap<true>();
   #byService: Map<string, HostEntry[]> | undefined;
   #version = 0;
   #isListed = false;
 
   /** `onBatch` is called for each answer, before any request can be sent to hosts of it. */
   constructor(
-    read: HostReader,
+    read: HostParser,
     log: Log,
     onBatch: (batch: HostBatch) => void = (): void => undefined,
     counters?: Counters,
@@ -109,7 +109,7 @@
    * Records that a host announced its shutdown. Its entry may say so later or never, and an entry written before may
    * still arrive: from now on all entries of this start count as not accepting requests.
    */
-  noteLeaving(host: HostIncarnation): void {
+  recordShutdown(host: HostIncarnation): void {
     this.#leaving.set(host, true);
     const entry = this.#hosts.get(host.id);
     if (entry !== undefined && incarnationOf(entry) === incarnationOf(host)) {
@@ -139,43 +139,43 @@
   };
 
   /** Applies the whole list; hosts that are not in it are removed. */
-  takeList(list: ObjectList): void {
+  applyList(list: ObjectList): void {
     const present = new Set(list.objects.map(object => object.name));
     const removedIds = [...this.#hosts.keys()].filter(id => !present.has(id));
     const departed = removedIds.flatMap(id => this.#remove(id));
-    const taken = this.#applyAll(list.objects, departed);
+    const applied = this.#applyAll(list.objects, departed);
     this.#isListed = true;
-    this.#finishBatch({ taken, departed });
+    this.#finishBatch({ applied: applied, departed });
   }
 
   /**
    * Applies changes, in the order in which they were made, as one change of this registry, so that derived views
    * are recomputed once for all of them.
    */
-  takeChanges(changes: readonly ObjectChange[]): void {
-    const taken: TakenEntry[] = [];
+  applyChanges(changes: readonly ObjectChange[]): void {
+    const applied: AppliedEntry[] = [];
     const departed: HostEntry[] = [];
     for (const { object, deleted } of changes) {
       if (deleted) {
         departed.push(...this.#remove(object.name));
       } else {
-        taken.push(...this.#applyAll([object], departed));
+        applied.push(...this.#applyAll([object], departed));
       }
     }
-    this.#finishBatch({ taken, departed });
+    this.#finishBatch({ applied: applied, departed });
   }
 
   // A host whose entry can no longer be parsed is treated as removed: no new requests are sent to it, and those in
   // progress run to their end. The other hosts are not affected.
-  #applyAll(objects: readonly StoredObject[], departed: HostEntry[]): TakenEntry[] {
-    const taken: TakenEntry[] = [];
+  #applyAll(objects: readonly StoredObject[], departed: HostEntry[]): AppliedEntry[] {
+    const applied: AppliedEntry[] = [];
     const unreadable: UnreadableEntry[] = [];
     for (const object of objects) {
       const known = this.#revisions.get(object.name);
       if (known === undefined || isLaterRevision(object.revision, known)) {
         const reading = this.#parse(object.name, object.value);
         if (reading.kind === 'host') {
-          taken.push(...this.#applyEntry(object, reading.entry, departed));
+          applied.push(...this.#applyEntry(object, reading.entry, departed));
         } else {
           unreadable.push({ id: object.name, revision: object.revision, reason: reading.reason });
           departed.push(...this.#remove(object.name));
@@ -183,12 +183,12 @@
       }
     }
     this.#logUnreadable(unreadable);
-    return taken;
+    return applied;
   }
 
   #finishBatch(batch: HostBatch): void {
     this.#logDepartures(batch.departed.map(({ id }) => id));
-    const arrived = batch.taken.filter(({ standing }) => standing !== 'known');
+    const arrived = batch.applied.filter(({ standing }) => standing !== 'known');
     this.#logArrivals(arrived.map(({ entry }) => entry));
     this.#onBatch(batch);
     this.#noteChange();
@@ -199,7 +199,7 @@
     object: StoredObject,
     entry: HostEntry,
     departed: HostEntry[],
-  ): readonly TakenEntry[] {
+  ): readonly AppliedEntry[] {
     const { name, revision } = object;
     const last = this.#hosts.get(name) ?? this.#departed.get(name)?.entry;
     this.#revisions.set(name, revision);
@@ -229,7 +229,7 @@
     return this.#leaving.has(host);
   }
 
-  #standingOf(id: string, before: HostEntry | undefined): TakenEntry['standing'] {
+  #standingOf(id: string, before: HostEntry | undefined): AppliedEntry['standing'] {
     if (before !== undefined && this.#hosts.has(id)) {
       return 'known';
     }
--- a/packages/entry/src/hosts/start-memory.ts
+++ b/packages/entry/src/hosts/host-start-map.ts
@@ -9,7 +9,7 @@
 const MAX_STARTS = 4_096;
 
 /** Maps each start of a host to a value; a restarted process under the same id begins without one. */
-export class StartMemory<T> {
+export class HostStartMap<T> {
   readonly #values = new Map<string, T>();
 
   /** Number of starts that are remembered. */
@@ -49,7 +49,7 @@
   }
 
   /** Removes all starts whose values have expired. */
-  forget(isExpired: (value: T) => boolean): void {
+  deleteWhere(isExpired: (value: T) => boolean): void {
     for (const [key, value] of this.#values) {
       if (isExpired(value)) {
         this.#values.delete(key);
--- a/packages/entry/src/lease/lease-history.test.ts
+++ b/packages/entry/src/lease/lease-history.test.ts
@@ -3,7 +3,7 @@
  * some writes are carried out late. Guards against two lease holders at once, and against epochs that hosts have
  * already seen.
  */
-import { eraOf, numberInEra, revisionIn } from '@hingescale/core';
+import { eraOf, makeRevision, numberInEra } from '@hingescale/core';
 import { expect } from 'chai';
 import fc from 'fast-check';
 
@@ -87,7 +87,7 @@
       return { kind: 'conflict', object: this.#present() };
     }
     const number = this.#state.number + 1;
-    const object = { name, revision: revisionIn(this.#era, number), value };
+    const object = { name, revision: makeRevision(this.#era, number), value };
     this.#state = { number, object };
     this.#history.push({ at: performance.now(), state: this.#state });
     return { kind: 'written', object };
@@ -95,7 +95,7 @@
 
   #present(): StoredObject | undefined {
     const { object } = this.#state;
-    return object && { ...object, revision: revisionIn(this.#era, numberInEra(object.revision)) };
+    return object && { ...object, revision: makeRevision(this.#era, numberInEra(object.revision)) };
   }
 }
 
@@ -143,9 +143,9 @@
   let most = 0;
   const epochs: number[] = [];
   const poll = setInterval(() => {
-    const holders = [...series].filter(([task]) => task.renewedAt !== undefined);
+    const holders = [...series].filter(([task]) => task.renewalRevision !== undefined);
     most = Math.max(most, holders.length);
-    holders.forEach(([task, own]) => epochs.push(own.next(task.renewedAt ?? 0) ?? NaN));
+    holders.forEach(([task, own]) => epochs.push(own.next(task.renewalRevision ?? 0) ?? NaN));
   }, 3);
   const until = performance.now() + SCENARIO_MS;
   for (const { afterMs, ageMs } of restores) {
@@ -155,7 +155,7 @@
   await wait(Math.max(0, until - performance.now()));
   clearInterval(poll);
   for (const task of series.keys()) {
-    task.abandon();
+    task.stopWithoutRelease();
   }
   return { most, epochs };
 }
@@ -195,14 +195,14 @@
     await wait(300);
     expect(holder.term).to.equal(term);
     expect(lost).to.have.length(0);
-    holder.abandon();
+    holder.stopWithoutRelease();
   });
 });
 
 describe('epochs of groups', () => {
   it('are above those of an earlier era, whatever the numbers of its revisions', () => {
-    const before = new EpochSeries().next(revisionIn(1, 900_000)) ?? Infinity;
-    const after = new EpochSeries().next(revisionIn(2, 3));
+    const before = new EpochSeries().next(makeRevision(1, 900_000)) ?? Infinity;
+    const after = new EpochSeries().next(makeRevision(2, 3));
     expect(after).to.be.above(before);
     expect(Number.isSafeInteger(after)).to.equal(true);
   });
--- a/packages/entry/src/lease/lease-task.test.ts
+++ b/packages/entry/src/lease/lease-task.test.ts
@@ -88,7 +88,7 @@
 
   afterEach(() => {
     tasks.forEach(task => {
-      task.abandon();
+      task.stopWithoutRelease();
     });
   });
 
@@ -114,7 +114,7 @@
     const term = first.term ?? 0;
     const second = start('b');
     await wait(60);
-    first.abandon();
+    first.stopWithoutRelease();
     await wait(100);
     expect(second.term).to.equal(undefined);
     await wait(350);
@@ -146,7 +146,7 @@
     const first = start('a', 1);
     await wait(60);
     expect(first.term).to.be.a('number');
-    first.abandon();
+    first.stopWithoutRelease();
     const again = start('a', 2);
     await wait(70);
     expect(again.term).to.be.greaterThan(first.term ?? 0);
@@ -219,7 +219,7 @@
       store.answerMs = 60;
       const late = candidate(store, 'c', 1, other);
       tasks.push(late);
-      holder.abandon();
+      holder.stopWithoutRelease();
       void late.run();
       await wait(20);
       other.suspend(5_000);
--- a/packages/entry/src/lease/lease-task.ts
+++ b/packages/entry/src/lease/lease-task.ts
@@ -10,7 +10,7 @@
  * holds the lease, and entry hosts other than the last holder wait until the holder's time is over.
  */
 import type { Revision } from '@hingescale/core';
-import { eraOf, isLaterRevision, isOfItsEra as isLeaseOfItsEra } from '@hingescale/core';
+import { eraOf, isFromCurrentEra as isLeaseOfItsEra, isLaterRevision } from '@hingescale/core';
 import Emittery from 'emittery';
 
 import type { ElapsedClock } from '../server/elapsed-time.js';
@@ -98,7 +98,7 @@
   }
 
   /** Revision of the last renewal while this host certainly holds the lease; equal to the term before the first. */
-  get renewedAt(): Revision | undefined {
+  get renewalRevision(): Revision | undefined {
     return this.term === undefined ? undefined : this.#knownLease?.revision;
   }
 
@@ -122,10 +122,10 @@
       this.#endTermIfLapsed();
       try {
         await this.#step();
-        this.#failures.succeeded();
+        this.#failures.recordSuccess();
       } catch (error) {
         // A lease that is held may have lapsed during the failed call, which is checked below.
-        this.#failures.failed(error);
+        this.#failures.recordFailure(error);
       }
       this.#endTermIfLapsed();
       // Spreads the attempts of the hosts that compete for the lease over 80 to 120 % of the period.
@@ -136,7 +136,7 @@
   }
 
   /** Ends the task without releasing the lease; a lease that is held lapses by itself. */
-  abandon(): void {
+  stopWithoutRelease(): void {
     this.#abort.abort();
   }
 
--- a/packages/entry/src/peers/member.ts
+++ b/packages/entry/src/peers/member.ts
@@ -48,7 +48,7 @@
 }
 
 /** Sorts hosts by power, then by name; every host computes the same order. */
-export function ranked(members: readonly Member[]): readonly Member[] {
+export function rankMembers(members: readonly Member[]): readonly Member[] {
   return [...members].sort((a, b) => b.power - a.power || compareNames(a.name, b.name));
 }
 
@@ -60,10 +60,10 @@
  * follows the store: with one such host in each failure domain, each made 7 calls a second to the store.
  */
 export function candidatesOf(self: Member, members: readonly Member[]): Candidates {
-  const others = ranked(members.filter(member => member.name !== self.name));
+  const others = rankMembers(members.filter(member => member.name !== self.name));
   const own = others.filter(member => member.failureDomain === self.failureDomain);
-  const remote = remoteHeads(self, others);
-  const order = ranked([...others, self]);
+  const remote = firstRemoteMembers(self, others);
+  const order = rankMembers([...others, self]);
   const rankedBefore = new Set(order.slice(0, order.indexOf(self)));
   const ownRankedBefore = own.filter(member => rankedBefore.has(member));
   const ownAbove = ownRankedBefore.slice(0, MAX_ABOVE);
@@ -75,9 +75,9 @@
 }
 
 /** Returns the highest-ranked hosts of each other failure domain, {@link MAX_REMOTE_PER_DOMAIN} at most of each. */
-export function remoteHeads(self: Member, others: readonly Member[]): readonly Member[] {
+export function firstRemoteMembers(self: Member, others: readonly Member[]): readonly Member[] {
   const countByDomain = new Map<string, number>();
-  return ranked(others).filter(member => {
+  return rankMembers(others).filter(member => {
     const count = countByDomain.get(member.failureDomain) ?? 0;
     countByDomain.set(member.failureDomain, count + 1);
     return member.failureDomain !== self.failureDomain && count < MAX_REMOTE_PER_DOMAIN;
--- a/packages/entry/src/peers/membership.test.ts
+++ b/packages/entry/src/peers/membership.test.ts
@@ -2,7 +2,7 @@
 
 import { silentLog } from '../server/log.js';
 import type { WriteAnswer } from '../store/object-store.js';
-import { NO_STORE } from '../testing/no-store.js';
+import { REFUSING_STORE } from '../testing/refusing-store.js';
 import type { Member } from './member.js';
 import { Membership } from './membership.js';
 
@@ -18,7 +18,7 @@
     created.push(name);
     return Promise.resolve({ kind: 'written', object: { name, revision: 9, value } });
   };
-  const store = { ...NO_STORE, create };
+  const store = { ...REFUSING_STORE, create };
   const membership = new Membership({ self: SELF, seeds: [], store, log: silentLog() });
   if (listed !== undefined) {
     const objects = listed.map(value => ({ name: value.name, revision: 1, value }));
--- a/packages/entry/src/peers/membership.ts
+++ b/packages/entry/src/peers/membership.ts
@@ -9,7 +9,7 @@
 import { OBJECT_KINDS } from '../store/object-store.js';
 import type { KindObserver } from '../store/watched-kind.js';
 import type { Candidates, Member } from './member.js';
-import { candidatesOf, readMember, remoteHeads } from './member.js';
+import { candidatesOf, firstRemoteMembers, readMember } from './member.js';
 
 export type MembershipOptions = {
   readonly self: Member;
@@ -107,19 +107,19 @@
   }
 
   /** The highest-ranked hosts of each other failure domain. */
-  get remoteHeads(): readonly Member[] {
-    return remoteHeads(this.#options.self, [...this.#members.values()]);
+  get firstRemoteMembers(): readonly Member[] {
+    return firstRemoteMembers(this.#options.self, [...this.#members.values()]);
   }
 
   /** Resolves once registrations have been read, after {@link FIRST_LIST_TIMEOUT_MS} at the latest. */
-  async known(): Promise<void> {
+  async waitForFirstList(): Promise<void> {
     await Promise.race([this.#firstList, sleep(FIRST_LIST_TIMEOUT_MS, this.#abort.signal)]);
   }
 
   /** Registers this host, with retries until it succeeds; does nothing where a restarted host is still registered. */
   async register(): Promise<void> {
     const { self } = this.#options;
-    await this.known();
+    await this.waitForFirstList();
     if (isSameRegistration(this.#members.get(self.name), self)) {
       this.#isRegistered = true;
       return;
@@ -137,7 +137,7 @@
         log.info('entry host registered', { address: self.address, power: self.power });
         return;
       } catch (error) {
-        failures.failed(error);
+        failures.recordFailure(error);
         await sleep(RETRY_MS * (0.5 + Math.random()), this.#abort.signal);
       }
     }
--- a/packages/entry/src/peers/read-messages.test.ts
+++ b/packages/entry/src/peers/parse-messages.test.ts
@@ -4,18 +4,18 @@
 
 import type { LimitReport } from '../rate-limits/limit-report.js';
 import { OBJECT_KINDS } from '../store/object-store.js';
-import type { ReadReply, ReadRequest } from './peer-messages.js';
 import {
+  parseLeavingHosts,
+  parseLimitReports,
+  parseReadReply,
+  parseReadRequest,
+  parseReportsReply,
+  parseRunReports,
+  parseSuspicion,
+  parseTallyReply,
   PeerMessageError,
-  readLeavingHosts,
-  readLimitReports,
-  readReplyOf,
-  readReportsReply,
-  readRequestOf,
-  readRunReports,
-  readSuspicion,
-  readTallyReply,
-} from './read-messages.js';
+} from './parse-messages.js';
+import type { ReadReply, ReadRequest } from './peer-messages.js';
 
 const LIMIT: LimitReport = {
   host: { id: 'h', startedAt: 1 },
@@ -105,48 +105,48 @@
 
 describe('messages of peers', () => {
   it('are parsed as they were sent', () => {
-    expect(readRequestOf(REQUEST)).to.deep.equal(REQUEST);
-    expect(readReplyOf(REPLY)).to.deep.equal(REPLY);
+    expect(parseReadRequest(REQUEST)).to.deep.equal(REQUEST);
+    expect(parseReadReply(REPLY)).to.deep.equal(REPLY);
     const suspicion = { service: 'lm', report: OUTLIER, hops: 2 };
-    expect(readSuspicion(suspicion)).to.deep.equal(suspicion);
-    expect(readRunReports({ reports: [CRASH] })).to.deep.equal([CRASH]);
-    expect(readLimitReports({ reports: [LIMIT] })).to.deep.equal([LIMIT]);
+    expect(parseSuspicion(suspicion)).to.deep.equal(suspicion);
+    expect(parseRunReports({ reports: [CRASH] })).to.deep.equal([CRASH]);
+    expect(parseLimitReports({ reports: [LIMIT] })).to.deep.equal([LIMIT]);
     expect(
-      readLimitReports({
+      parseLimitReports({
         reports: [
           { ...LIMIT, perSecond: -1 },
           { ...LIMIT, turn: 0.5 },
         ],
       }),
     ).to.deep.equal([]);
-    expect(readLeavingHosts({ reports: [LIMIT.host, { id: 3 }] })).to.deep.equal([LIMIT.host]);
-    expect(readTallyReply({ tally: REPLY.tally })).to.deep.equal(REPLY.tally);
-    expect(readReportsReply({ instance: 'x' })).to.deep.equal({ instance: 'x' });
+    expect(parseLeavingHosts({ reports: [LIMIT.host, { id: 3 }] })).to.deep.equal([LIMIT.host]);
+    expect(parseTallyReply({ tally: REPLY.tally })).to.deep.equal(REPLY.tally);
+    expect(parseReportsReply({ instance: 'x' })).to.deep.equal({ instance: 'x' });
   });
 
   it('are parsed or rejected with PeerMessageError, whatever their content', () => {
-    expectParsedOrRejected(readRequestOf, REQUEST);
-    expectParsedOrRejected(readReplyOf, REPLY);
-    expectParsedOrRejected(readSuspicion, { service: 'lm', report: OUTLIER, hops: 2 });
-    expectParsedOrRejected(readRunReports, { reports: [CRASH, CRASH] });
-    expectParsedOrRejected(readLimitReports, { reports: [LIMIT, LIMIT] });
-    expectParsedOrRejected(readLeavingHosts, { reports: [LIMIT.host] });
-    expectParsedOrRejected(readTallyReply, { tally: REPLY.tally });
-    expectParsedOrRejected(readReportsReply, { instance: 'x' });
+    expectParsedOrRejected(parseReadRequest, REQUEST);
+    expectParsedOrRejected(parseReadReply, REPLY);
+    expectParsedOrRejected(parseSuspicion, { service: 'lm', report: OUTLIER, hops: 2 });
+    expectParsedOrRejected(parseRunReports, { reports: [CRASH, CRASH] });
+    expectParsedOrRejected(parseLimitReports, { reports: [LIMIT, LIMIT] });
+    expectParsedOrRejected(parseLeavingHosts, { reports: [LIMIT.host] });
+    expectParsedOrRejected(parseTallyReply, { tally: REPLY.tally });
+    expectParsedOrRejected(parseReportsReply, { instance: 'x' });
   });
 
   it('lose only those entries of lists that are invalid', () => {
     const object = { name: 'h1', revision: 1, value: null };
     const objects = [null, 7, { name: 4 }, { name: 'x', revision: 'y' }, object];
     const answer = { kind: 'list', list: { objects, revision: 9 } };
-    const reply = readReplyOf({ ...REPLY, answer });
+    const reply = parseReadReply({ ...REPLY, answer });
     expect(reply.answer?.kind === 'list' && reply.answer.list.objects).to.deep.equal([object]);
     const loads = [['h1', 1], ['h2', 'many'], 7, ['h3']];
-    expect(readTallyReply({ tally: { loads, work: 3 } })).to.deep.equal({
+    expect(parseTallyReply({ tally: { loads, work: 3 } })).to.deep.equal({
       loads: [['h1', 1]],
       work: [],
     });
     const reports = [CRASH, { ...CRASH, ageMs: 'old' }, { ...CRASH, host: 'h1' }, null];
-    expect(readRunReports({ reports })).to.deep.equal([CRASH]);
+    expect(parseRunReports({ reports })).to.deep.equal([CRASH]);
   });
 });
--- a/packages/entry/src/peers/read-messages.ts
+++ b/packages/entry/src/peers/parse-messages.ts
@@ -35,7 +35,7 @@
 const MAX_HOPS = 8;
 
 /** Parses a request for the objects of a kind. */
-export function readRequestOf(value: unknown): ReadRequest {
+export function parseReadRequest(value: unknown): ReadRequest {
   const fields = fieldsOf(value, 'read request');
   const { kind, revision, waitMs, view, tally, outliersHeard } = fields;
   const isKnown = KINDS.includes(kind) && (view === 'full' || view === 'routing');
@@ -50,7 +50,7 @@
 }
 
 /** Parses the reply to a request for the objects of a kind. */
-export function readReplyOf(value: unknown): ReadReply {
+export function parseReadReply(value: unknown): ReadReply {
   const fields = fieldsOf(value, 'answer');
   const { answer, inTouch, confirmedAfterMs, tally, outliers, outlierSequence } = fields;
   if (typeof confirmedAfterMs !== 'number' || Number.isNaN(confirmedAfterMs)) {
@@ -68,7 +68,7 @@
 }
 
 /** Parses a suspicion. */
-export function readSuspicion(value: unknown): SuspectRequest {
+export function parseSuspicion(value: unknown): SuspectRequest {
   const { service, report, hops } = fieldsOf(value, 'suspicion');
   if (!isString(service) || !isOutlierReport(report) || !isNumber(hops)) {
     throw new PeerMessageError('suspicion');
@@ -77,27 +77,27 @@
 }
 
 /** Parses the reply with the tally of a failure domain. */
-export function readTallyReply(value: unknown): Tally {
+export function parseTallyReply(value: unknown): Tally {
   return parseTally(fieldsOf(value, 'tally')['tally']);
 }
 
 /** Parses reports of lost and completed runs. */
-export function readRunReports(value: unknown): readonly RunReport[] {
+export function parseRunReports(value: unknown): readonly RunReport[] {
   return listOf(fieldsOf(value, 'run reports')['reports']).filter(isRunReport);
 }
 
 /** Parses reports of rate limits. */
-export function readLimitReports(value: unknown): readonly LimitReport[] {
+export function parseLimitReports(value: unknown): readonly LimitReport[] {
   return listOf(fieldsOf(value, 'rate limit reports')['reports']).filter(isLimitReport);
 }
 
 /** Parses reports of hosts that are shutting down. */
-export function readLeavingHosts(value: unknown): readonly HostIncarnation[] {
+export function parseLeavingHosts(value: unknown): readonly HostIncarnation[] {
   return listOf(fieldsOf(value, 'leaving hosts')['reports']).filter(isIncarnation);
 }
 
 /** Parses the reply to reports. */
-export function readReportsReply(value: unknown): ReportsReply {
+export function parseReportsReply(value: unknown): ReportsReply {
   const { instance } = fieldsOf(value, 'reply to reports');
   return { instance: isString(instance) ? instance : '' };
 }
--- a/packages/entry/src/peers/peer-reader.ts
+++ b/packages/entry/src/peers/peer-reader.ts
@@ -4,9 +4,9 @@
 import { elapsedMs } from '../server/elapsed-time.js';
 import type { KindReader } from '../store/kind-reader.js';
 import { OBJECT_KINDS } from '../store/object-store.js';
+import { parseReadReply } from './parse-messages.js';
 import type { ReadReply, ReadRequest } from './peer-messages.js';
 import { PEER_REQUESTS } from './peer-messages.js';
-import { readReplyOf } from './read-messages.js';
 import type { SharedTally } from './shared-tally.js';
 
 /** Time that a peer has to answer beyond the wait that the request allows, in milliseconds. */
@@ -28,7 +28,7 @@
       const request: ReadRequest = { kind, revision, waitMs, view, tally: ownTally, outliersHeard };
       const sentAt = elapsedMs();
       const timeoutMs = waitMs + ANSWER_MARGIN_MS;
-      const reply = readReplyOf(
+      const reply = parseReadReply(
         await link.request<unknown>(PEER_REQUESTS.read, request, timeoutMs),
       );
       if (reply.answer === undefined) {
--- a/packages/entry/src/peers/peer-server.test.ts
+++ b/packages/entry/src/peers/peer-server.test.ts
@@ -10,7 +10,7 @@
 import { storeReader } from '../store/kind-reader.js';
 import { OBJECT_KINDS } from '../store/object-store.js';
 import { WatchedKind } from '../store/watched-kind.js';
-import { NO_STORE } from '../testing/no-store.js';
+import { REFUSING_STORE } from '../testing/refusing-store.js';
 import type { ReadReply, ReadRequest } from './peer-messages.js';
 import { PEER_REQUESTS } from './peer-messages.js';
 import type { PeerServerOptions } from './peer-server.js';
@@ -22,12 +22,16 @@
 async function watchInSync(): Promise<WatchedKind> {
   const list = (): Promise<{ objects: []; revision: number }> =>
     Promise.resolve({ objects: [], revision: 5 });
-  const reader = storeReader({ ...NO_STORE, list, watch: () => new Promise(() => undefined) });
+  const reader = storeReader({
+    ...REFUSING_STORE,
+    list,
+    watch: () => new Promise(() => undefined),
+  });
   const watch = new WatchedKind({
     readers: {
       choose: () => reader,
       peek: () => reader,
-      note: () => undefined,
+      recordOutcome: () => undefined,
       usableInMs: () => 0,
     },
     kind: OBJECT_KINDS.configuration,
@@ -50,13 +54,13 @@
     watchOf: () => undefined,
     tally: new SharedTally({ loads: () => [], work: () => [] }),
     outliers: new OutlierReports(),
-    runReportsHeard: () => undefined,
-    limitReportsHeard: () => undefined,
+    runReportsReceived: () => undefined,
+    limitReportsReceived: () => undefined,
     limitReports: () => [],
-    leavingHeard: () => undefined,
+    leavingHostsReceived: () => undefined,
     instance: 'first',
     mayBeFollowed: () => true,
-    suspected: () => undefined,
+    suspicionReceived: () => undefined,
     isRoutable: () => true,
     lackingGroups: () => [],
     ...change,
@@ -104,7 +108,7 @@
     const { reply, tookMs, tally } = await ask(true);
     expect(reply.inTouch).to.equal(true);
     expect(reply.tally?.loads).to.deep.equal([['h1', 1]]);
-    expect(tally.loads.ofOthers('h1')).to.equal(10);
+    expect(tally.loads.sumOfOthers('h1')).to.equal(10);
     expect(tookMs).to.be.at.least(WAIT_MS - 20);
   });
 
@@ -131,13 +135,13 @@
   it('for a list waits for the first list of a peer that has just started', async () => {
     const watch = await watchInSync();
     const cache = new KindCache();
-    const starting = { cache, inTouch: true, view: 'full' } as WatchedKind;
+    const starting = { cache, isFresh: true, view: 'full' } as WatchedKind;
     const server = serverWith({
       watchOf: () => starting,
       tally: new SharedTally({ loads: () => [], work: () => [] }),
     });
     const link = links.to(await server.listen());
-    setTimeout(() => cache.takeList({ objects: [], revision: 9 }), 50);
+    setTimeout(() => cache.applyList({ objects: [], revision: 9 }), 50);
     const request = {
       kind: OBJECT_KINDS.hosts,
       revision: undefined,
@@ -155,7 +159,7 @@
     expect(reply.inTouch).to.equal(false);
     // The requesting host will turn to another peer: its tally must not be added here, and it must get none.
     expect(reply.tally).to.equal(undefined);
-    expect(tally.loads.ofOthers('h1')).to.equal(0);
+    expect(tally.loads.sumOfOthers('h1')).to.equal(0);
     expect(tookMs).to.be.below(WAIT_MS / 2);
   });
 });
--- a/packages/entry/src/peers/peer-server.ts
+++ b/packages/entry/src/peers/peer-server.ts
@@ -13,6 +13,13 @@
 import type { ObjectKind } from '../store/object-store.js';
 import { RoutingView } from '../store/routing-view.js';
 import type { WatchedKind } from '../store/watched-kind.js';
+import {
+  parseLeavingHosts,
+  parseLimitReports,
+  parseReadRequest,
+  parseRunReports,
+  parseSuspicion,
+} from './parse-messages.js';
 import type {
   Counts,
   LimitsReply,
@@ -23,13 +30,6 @@
   TallyReply,
 } from './peer-messages.js';
 import { PEER_REQUESTS } from './peer-messages.js';
-import {
-  readLeavingHosts,
-  readLimitReports,
-  readRequestOf,
-  readRunReports,
-  readSuspicion,
-} from './read-messages.js';
 import type { SharedTally } from './shared-tally.js';
 
 export type PeerServerOptions = {
@@ -44,11 +44,11 @@
   readonly tally: SharedTally;
   readonly outliers: OutlierReports;
   /** Called with reports of lost and completed runs that a peer sent. */
-  readonly runReportsHeard: (reports: readonly RunReport[]) => void;
+  readonly runReportsReceived: (reports: readonly RunReport[]) => void;
   /** Called with reports of rate limits that a peer sent, and with the name of that peer. */
-  readonly limitReportsHeard: (reports: readonly LimitReport[], from: string) => void;
+  readonly limitReportsReceived: (reports: readonly LimitReport[], from: string) => void;
   /** Called with the hosts that a peer reported as shutting down. */
-  readonly leavingHeard: (hosts: readonly HostIncarnation[]) => void;
+  readonly leavingHostsReceived: (hosts: readonly HostIncarnation[]) => void;
   /** Returns the rate limits that this host knows. */
   readonly limitReports: () => readonly LimitReport[];
   /** Identifies the incarnation of this entry host. */
@@ -56,7 +56,7 @@
   /** Returns false while peers must not follow this host. */
   readonly mayBeFollowed: () => boolean;
   /** Called with a report of a stalled group that a peer sent. */
-  readonly suspected: (request: SuspectRequest) => void;
+  readonly suspicionReceived: (request: SuspectRequest) => void;
   /** Returns true for the names of hosts that requests may be sent to. */
   readonly isRoutable: (name: string) => boolean;
   /** Returns the groups that lack a member. */
@@ -73,7 +73,7 @@
 
 /** Creates a link server whose handlers answer from the state of this host; it runs no background task. */
 export function createPeerServer(options: PeerServerOptions): LinkServer {
-  const { listen, key, failureDomain, tally, suspected } = options;
+  const { listen, key, failureDomain, tally, suspicionReceived: suspected } = options;
   const views = new Map<KindCache, RoutingView>();
   const answerOf = (cache: KindCache, { view, revision }: ReadRequest): KindAnswer | undefined => {
     if (view === 'full') {
@@ -91,24 +91,24 @@
     key,
     handlers: {
       [PEER_REQUESTS.read]: (request: unknown, peer: LinkIdentity) =>
-        answerRead(options, answerOf, readRequestOf(request), peer),
+        answerRead(options, answerOf, parseReadRequest(request), peer),
       [PEER_REQUESTS.tally]: (): TallyReply => ({
         tally: tally.ofDomain(failureDomain),
       }),
       [PEER_REQUESTS.suspect]: (request: unknown): null => {
-        suspected(readSuspicion(request));
+        suspected(parseSuspicion(request));
         return null;
       },
       [PEER_REQUESTS.runReports]: (request: unknown): ReportsReply => {
-        options.runReportsHeard(readRunReports(request));
+        options.runReportsReceived(parseRunReports(request));
         return { instance: options.instance };
       },
       [PEER_REQUESTS.limitReports]: (request: unknown, peer: LinkIdentity): ReportsReply => {
-        options.limitReportsHeard(readLimitReports(request), peer.name);
+        options.limitReportsReceived(parseLimitReports(request), peer.name);
         return { instance: options.instance };
       },
       [PEER_REQUESTS.leavingHosts]: (request: unknown): ReportsReply => {
-        options.leavingHeard(readLeavingHosts(request));
+        options.leavingHostsReceived(parseLeavingHosts(request));
         return { instance: options.instance };
       },
       [PEER_REQUESTS.askLimits]: (): LimitsReply => ({ reports: options.limitReports() }),
@@ -140,13 +140,13 @@
   if (request.revision === undefined && mayBeFollowed()) {
     await cache?.waitForList(Math.min(request.waitMs, MAX_WAIT_MS));
   }
-  const all = tally.allBut(peer.name);
+  const all = tally.allExcept(peer.name);
   // A host that sums loads for its followers needs all of them; for routing, the most loaded hosts are enough.
   const visible = request.view === 'full' ? all : { ...all, loads: mostLoaded(all.loads) };
   const hasView = request.view === 'routing' || watch?.view === 'full';
   return {
     answer: cache === undefined || !hasView ? undefined : answerOf(cache, request),
-    inTouch: mayBeFollowed() && (watch?.inTouch ?? false),
+    inTouch: mayBeFollowed() && (watch?.isFresh ?? false),
     confirmedAfterMs: (cache?.confirmedAt ?? -Infinity) - arrivedAt,
     tally: request.tally !== undefined && mayBeFollowed() ? visible : undefined,
     outliers: request.tally === undefined ? [] : outliers.since(request.outliersHeard),
@@ -170,7 +170,7 @@
     if (leftMs <= 0) {
       return;
     }
-    await cache.waitBeyond(seen, leftMs);
+    await cache.waitForChanges(seen, leftMs);
     const answer = answerOf(cache, request);
     const isChange = answer?.kind !== 'changes' || answer.changes.length > 0;
     const wantsOutliers = request.tally !== undefined;
--- a/packages/entry/src/peers/peers.test.ts
+++ b/packages/entry/src/peers/peers.test.ts
@@ -10,7 +10,7 @@
 import { KindCache } from '../store/kind-cache.js';
 import { OBJECT_KINDS } from '../store/object-store.js';
 import type { WatchedKind } from '../store/watched-kind.js';
-import { NO_STORE } from '../testing/no-store.js';
+import { REFUSING_STORE } from '../testing/refusing-store.js';
 import type { Member } from './member.js';
 import type { SuspectRequest } from './peer-messages.js';
 import type { PeersOptions } from './peers.js';
@@ -35,20 +35,20 @@
     self,
     seeds: [],
     key: '',
-    store: NO_STORE,
+    store: REFUSING_STORE,
     watchOf: () => undefined,
     ownLoads: () => [],
     ownWork: () => [],
-    orderGiver: () => undefined,
-    suspected: () => undefined,
-    unreachable: () => undefined,
-    ejected: () => undefined,
+    leaseHolder: () => undefined,
+    suspicionReceived: () => undefined,
+    hostUnreachable: () => undefined,
+    groupEjected: () => undefined,
     runReports: new CrashEvidence(),
     limitReports: { sequence: 0, since: () => [] },
-    runReportsHeard: () => undefined,
-    limitReportsHeard: () => false,
+    runReportsReceived: () => undefined,
+    limitReportsReceived: () => false,
     leavingHosts: { sequence: 0, since: () => [] },
-    leavingHeard: () => undefined,
+    leavingHostsReceived: () => undefined,
     instance: self.name,
     isRoutable: () => true,
     lackingGroups: () => [],
@@ -70,10 +70,10 @@
     };
     const received: SuspectRequest[] = [];
     const holder = peersOf(first, {
-      orderGiver: () => first.name,
-      suspected: request => received.push(request),
+      leaseHolder: () => first.name,
+      suspicionReceived: request => received.push(request),
     });
-    const follower = peersOf(self, { orderGiver: () => formerHolder.name });
+    const follower = peersOf(self, { leaseHolder: () => formerHolder.name });
     const objects = [first, self, formerHolder].map(value => ({
       name: value.name,
       revision: 1,
@@ -105,13 +105,13 @@
     );
     const objects = members.map(value => ({ name: value.name, revision: 1, value }));
     const cache = new KindCache();
-    cache.takeList({ objects: [], revision: 5 });
-    const watch = { cache, inTouch: true, view: 'full' } as WatchedKind;
+    cache.applyList({ objects: [], revision: 5 });
+    const watch = { cache, isFresh: true, view: 'full' } as WatchedKind;
     const unreachable: string[] = [];
     const all = members.map(self =>
       peersOf(self, {
         watchOf: () => watch,
-        unreachable: (domain, host) => unreachable.push(`${self.name}: ${domain} ${host}`),
+        hostUnreachable: (domain, host) => unreachable.push(`${self.name}: ${domain} ${host}`),
       }),
     );
     await Promise.all(all.map(peers => peers.start()));
@@ -147,7 +147,7 @@
     const objects = members.map(value => ({ name: value.name, revision: 1, value }));
     const views = (orderGiver: string): readonly string[] =>
       members.map(self => {
-        const peers = peersOf(self, { orderGiver: () => orderGiver });
+        const peers = peersOf(self, { leaseHolder: () => orderGiver });
         peers.membership.observer.listed({ objects, revision: 1 });
         return peers.hostsView;
       });
@@ -170,7 +170,7 @@
     const leading = members.filter(self => {
       const peers = peersOf(self, {});
       peers.membership.observer.listed({ objects, revision: 1 });
-      return peers.mayLead;
+      return peers.isLeaseCandidate;
     });
     expect(leading.map(({ name }) => name)).to.deep.equal(['a1', 'b1']);
   });
--- a/packages/entry/src/peers/peers.ts
+++ b/packages/entry/src/peers/peers.ts
@@ -17,14 +17,14 @@
 import { storeReader } from '../store/kind-reader.js';
 import type { ObjectKind, ObjectStore } from '../store/object-store.js';
 import { OBJECT_KINDS } from '../store/object-store.js';
-import type { ReaderChoice, WatchedKind } from '../store/watched-kind.js';
+import type { ReaderSelector, WatchedKind } from '../store/watched-kind.js';
 import type { Member } from './member.js';
 import { Membership } from './membership.js';
+import { parseTallyReply } from './parse-messages.js';
 import type { Counts, SuspectRequest } from './peer-messages.js';
 import { PEER_REQUESTS } from './peer-messages.js';
 import { peerReader } from './peer-reader.js';
 import { createPeerServer } from './peer-server.js';
-import { readTallyReply } from './read-messages.js';
 import { PeerReaderChoice } from './reader-choice.js';
 import type { ReportSources } from './shared-reports.js';
 import { SharedReports } from './shared-reports.js';
@@ -44,21 +44,21 @@
   /** Returns the recent work of this host's requests, by model. */
   readonly ownWork: () => Counts;
   /** Returns the name of the lease holder; undefined while it is not known. */
-  readonly orderGiver: () => string | undefined;
+  readonly leaseHolder: () => string | undefined;
   /** Called where this host is the lease holder and a group is reported as stalled. */
-  readonly suspected: (request: SuspectRequest) => void;
+  readonly suspicionReceived: (request: SuspectRequest) => void;
   /** Returns true for the names of hosts that requests may be sent to. */
   readonly isRoutable: (name: string) => boolean;
   /** Returns the groups that lack a member, as far as this host sees members. */
   readonly lackingGroups: () => readonly string[];
   /** Called when an entry host of the own failure domain could not connect to a host in this or another one. */
-  readonly unreachable: (failureDomain: string, hostId: string) => void;
+  readonly hostUnreachable: (failureDomain: string, hostId: string) => void;
   /** Called when a group that was not ejected before has been ejected. */
-  readonly ejected: () => void;
+  readonly groupEjected: () => void;
   /** Called with reports of lost and completed runs from other entry hosts. */
-  readonly runReportsHeard: (reports: readonly RunReport[]) => void;
+  readonly runReportsReceived: (reports: readonly RunReport[]) => void;
   /** Called with hosts that other entry hosts reported as shutting down. */
-  readonly leavingHeard: (hosts: readonly HostIncarnation[]) => void;
+  readonly leavingHostsReceived: (hosts: readonly HostIncarnation[]) => void;
   /** Identifies the incarnation of this entry host. */
   readonly instance: string;
   readonly log: Log;
@@ -120,17 +120,17 @@
       watchOf,
       tally: this.tally,
       outliers: this.outliers,
-      runReportsHeard: options.runReportsHeard,
+      runReportsReceived: options.runReportsReceived,
       limitReports: () => options.limitReports.since(0),
-      leavingHeard: options.leavingHeard,
-      limitReportsHeard: (reports, from) => {
-        this.#reports.limitsHeard(reports, from);
+      leavingHostsReceived: options.leavingHostsReceived,
+      limitReportsReceived: (reports, from) => {
+        this.#reports.limitReportsReceived(reports, from);
       },
       instance: options.instance,
       mayBeFollowed: () => this.#choice.mayBeFollowed,
       isRoutable: options.isRoutable,
       lackingGroups: options.lackingGroups,
-      suspected: request => {
+      suspicionReceived: request => {
         this.#noteOutliers([request.report]);
         this.#forward(request);
       },
@@ -150,7 +150,7 @@
   }
 
   /** Selects the reader of each read: a peer or the store. */
-  get readers(): ReaderChoice {
+  get readers(): ReaderSelector {
     return this.#choice;
   }
 
@@ -163,16 +163,16 @@
    * True for the first reachable host of each failure domain. Only these hosts observe the lease, so that one of
    * them has always observed it for long enough to acquire it as soon as it lapses.
    */
-  get mayLead(): boolean {
+  get isLeaseCandidate(): boolean {
     const { failureDomain } = this.#options.self;
     // During an outage of the store each host would become a candidate in turn and call the store to no effect.
-    if (this.#choice.isAvoided(this.#store.name)) {
+    if (this.#choice.isBackingOff(this.#store.name)) {
       return false;
     }
     return !this.membership.candidates.above.some(
       member =>
         member.failureDomain === failureDomain &&
-        !this.#choice.isAvoided(this.#readerOf(member).name),
+        !this.#choice.isBackingOff(this.#readerOf(member).name),
     );
   }
 
@@ -183,14 +183,14 @@
    * ignored: when hundreds of hosts start at once, each would otherwise count itself among the first.
    */
   get hostsView(): KindView {
-    const { self, orderGiver } = this.#options;
+    const { self, leaseHolder: orderGiver } = this.#options;
     const leads = orderGiver() === self.name;
     const { isAmongFirst } = this.membership.candidates;
     return leads || isAmongFirst || this.tally.loads.hasFollowers ? 'full' : 'routing';
   }
 
   /** Groups that lack a member, as last reported by the followed host. */
-  get toldLacking(): ReadonlySet<string> {
+  get reportedLackingGroups(): ReadonlySet<string> {
     return this.#reportedLacking;
   }
 
@@ -234,8 +234,8 @@
   }
 
   /** Sends reports of hosts that have announced their shutdown to other entry hosts. */
-  shareLeaving(): void {
-    this.#reports.shareLeaving();
+  shareLeavingHosts(): void {
+    this.#reports.shareLeavingHosts();
   }
 
   /** Stops all tasks and closes all links. */
@@ -263,7 +263,7 @@
   // Followers of this host receive a new outlier within a few milliseconds, with the replies that they are waiting
   // for, instead of after the quarter of a second between two requests.
   #noteOutliers(reports: readonly OutlierReport[]): void {
-    const { self, unreachable } = this.#options;
+    const { self, hostUnreachable: unreachable } = this.#options;
     let hasNewEjection = false;
     for (const report of reports) {
       const outcome = this.outliers.note(report);
@@ -275,17 +275,17 @@
     }
     if (hasNewEjection) {
       this.#options.counters.count('outliers_ejected_total');
-      this.#options.watchOf(OBJECT_KINDS.hosts)?.cache.wakeAll();
-      this.#options.ejected();
+      this.#options.watchOf(OBJECT_KINDS.hosts)?.cache.endWaits();
+      this.#options.groupEjected();
     }
   }
 
   // Addresses of all hosts that this one exchanges reports with: the peer it follows and its own followers. A host
   // that follows the store adds the lease holder and a host of each failure domain without followers of this host.
   #neighbours(): readonly string[] {
-    const { self, orderGiver } = this.#options;
+    const { self, leaseHolder: orderGiver } = this.#options;
     const { above } = this.membership.candidates;
-    const followed = above.find(member => !this.#choice.isAvoided(this.#readerOf(member).name));
+    const followed = above.find(member => !this.#choice.isBackingOff(this.#readerOf(member).name));
     const storeNeighbours = [this.membership.get(orderGiver() ?? ''), ...this.#firstReachable()];
     const aboveNeighbours =
       followed === undefined || this.followsStore ? storeNeighbours : [followed];
@@ -295,7 +295,7 @@
   }
 
   #forward(request: SuspectRequest): void {
-    const { self, orderGiver, suspected, counters } = this.#options;
+    const { self, leaseHolder: orderGiver, suspicionReceived: suspected, counters } = this.#options;
     const holder = orderGiver();
     if (holder === self.name) {
       suspected(request);
@@ -305,9 +305,9 @@
     const isHolderCurrent = holder !== undefined && this.followsStore;
     const known = isHolderCurrent ? this.membership.get(holder) : undefined;
     const above = this.membership.candidates.above.find(
-      member => !this.#choice.isAvoided(this.#readerOf(member).name),
+      member => !this.#choice.isBackingOff(this.#readerOf(member).name),
     );
-    const to = known ?? above ?? this.membership.remoteHeads[0];
+    const to = known ?? above ?? this.membership.firstRemoteMembers[0];
     if (to === undefined || request.hops <= 0) {
       counters.count('suspicions_dropped_total');
       return;
@@ -317,11 +317,11 @@
       .to(to.address)
       .request(PEER_REQUESTS.suspect, forwarded, REQUEST_TIMEOUT_MS)
       .then(() => {
-        this.#suspicionFailures.succeeded();
+        this.#suspicionFailures.recordSuccess();
       })
       .catch((error: unknown) => {
         counters.count('suspicions_dropped_total');
-        this.#suspicionFailures.failed(error);
+        this.#suspicionFailures.recordFailure(error);
       });
   }
 
@@ -340,12 +340,12 @@
 
   #firstReachable(): readonly Member[] {
     const chosen = new Map<string, Member>();
-    for (const member of this.membership.remoteHeads) {
+    for (const member of this.membership.firstRemoteMembers) {
       if (this.tally.hasFollowerIn(member.failureDomain)) {
         continue;
       }
       const taken = chosen.get(member.failureDomain);
-      if (taken === undefined || this.#choice.isAvoided(taken.address)) {
+      if (taken === undefined || this.#choice.isBackingOff(taken.address)) {
         chosen.set(member.failureDomain, member);
       }
     }
@@ -357,11 +357,11 @@
     try {
       const link = this.#links.to(member.address);
       const reply = await link.request<unknown>(PEER_REQUESTS.tally, null, REQUEST_TIMEOUT_MS);
-      this.tally.noteDomain(member.failureDomain, readTallyReply(reply));
-      this.#tallyFailures.succeeded();
+      this.tally.noteDomain(member.failureDomain, parseTallyReply(reply));
+      this.#tallyFailures.recordSuccess();
     } catch (error) {
-      this.#choice.note(reader, 'failed');
-      this.#tallyFailures.failed(error);
+      this.#choice.recordOutcome(reader, 'failed');
+      this.#tallyFailures.recordFailure(error);
     }
   }
 }
--- a/packages/entry/src/peers/reader-choice.test.ts
+++ b/packages/entry/src/peers/reader-choice.test.ts
@@ -2,7 +2,7 @@
 
 import type { KindReader } from '../store/kind-reader.js';
 import type { Candidates, Member } from './member.js';
-import { candidatesOf, ranked } from './member.js';
+import { candidatesOf, rankMembers } from './member.js';
 import { PeerReaderChoice } from './reader-choice.js';
 
 function member(name: string, power: number, failureDomain = 'a'): Member {
@@ -55,7 +55,7 @@
     const alike = ['a', 'b', 'c', 'd', 'e', 'f'].map((name, index) =>
       member(name, 1, `z${index % 2}`),
     );
-    const order = namesOf(ranked(alike));
+    const order = namesOf(rankMembers(alike));
     for (const self of alike) {
       for (const { name } of candidatesOf(self, alike).above) {
         expect(order.indexOf(name)).to.be.below(order.indexOf(self.name));
@@ -80,19 +80,19 @@
     const up = choice.choose();
     expect(up.name).to.equal('up:1');
     expect(choice.followsStore).to.equal(false);
-    choice.note(up, 'failed');
+    choice.recordOutcome(up, 'failed');
     expect(choice.choose()).to.equal(STORE);
     expect(choice.followsStore).to.equal(true);
-    choice.note(STORE, 'failed');
+    choice.recordOutcome(STORE, 'failed');
     expect(choice.choose().name).to.equal('down:1');
   });
 
   it('lets no host follow one that follows a lower-ranked peer', () => {
     const choice = choiceOf(candidates);
-    choice.note(choice.choose(), 'stale');
+    choice.recordOutcome(choice.choose(), 'stale');
     choice.choose();
     expect(choice.mayBeFollowed).to.equal(true);
-    choice.note(STORE, 'failed');
+    choice.recordOutcome(STORE, 'failed');
     choice.choose();
     expect(choice.mayBeFollowed).to.equal(false);
   });
@@ -100,9 +100,9 @@
   it('returns to the higher-ranked peer when a read of it is fresh again', () => {
     const choice = choiceOf(candidates);
     const up = choice.choose();
-    choice.note(up, 'failed');
+    choice.recordOutcome(up, 'failed');
     expect(choice.choose()).to.equal(STORE);
-    choice.note(up, 'fresh');
+    choice.recordOutcome(up, 'fresh');
     expect(choice.choose()).to.equal(up);
   });
 
@@ -114,7 +114,7 @@
       const chosen = choice.choose();
       if (chosen.name === 'up:1') {
         tries += 1;
-        choice.note(chosen, 'failed');
+        choice.recordOutcome(chosen, 'failed');
       }
     }
     expect(tries).to.be.within(3, 8);
@@ -131,7 +131,7 @@
         }
         const chosen = choice.choose();
         storeCalls += chosen === STORE ? 1 : 0;
-        choice.note(chosen, chosen === STORE ? 'failed' : 'stale');
+        choice.recordOutcome(chosen, chosen === STORE ? 'failed' : 'stale');
       }
     }
     expect(storeCalls).to.be.within(4, 6);
@@ -140,10 +140,10 @@
   it('is not changed by peek: the probe of the store is left to the next call of choose', () => {
     let now = 0;
     const choice = choiceOf({ above: [member('up', 2)], below: [], isAmongFirst: true }, () => now);
-    choice.note(STORE, 'failed');
-    choice.note(choice.choose(), 'stale');
+    choice.recordOutcome(STORE, 'failed');
+    choice.recordOutcome(choice.choose(), 'stale');
     now = 3_000;
-    choice.note(choice.choose(), 'stale');
+    choice.recordOutcome(choice.choose(), 'stale');
     expect(choice.peek()).to.equal(STORE);
     expect(choice.usableInMs()).to.equal(0);
     expect(choice.choose()).to.equal(STORE);
@@ -153,31 +153,31 @@
   it('reads an urgent kind from the store after two failed peers, and others from the next peer', () => {
     const above = ['p1', 'p2', 'p3'].map(name => member(name, 2));
     const choice = choiceOf({ above, below: [], isAmongFirst: false });
-    choice.note(choice.choose(true), 'failed');
+    choice.recordOutcome(choice.choose(true), 'failed');
     expect(choice.choose(true).name).to.equal('p2:1');
-    choice.note(choice.choose(true), 'failed');
+    choice.recordOutcome(choice.choose(true), 'failed');
     expect(choice.choose(true)).to.equal(STORE);
     expect(choice.choose().name).to.equal('p3:1');
     expect(choice.followsStore).to.equal(false);
-    choice.note(STORE, 'fresh');
+    choice.recordOutcome(STORE, 'fresh');
     expect(choice.choose(true).name).to.equal('p3:1');
   });
 
   it('does not read an urgent kind from a store that has just failed', () => {
     const above = ['p1', 'p2', 'p3'].map(name => member(name, 2));
     const choice = choiceOf({ above, below: [], isAmongFirst: false });
-    choice.note(choice.choose(), 'failed');
-    choice.note(choice.choose(), 'failed');
-    choice.note(STORE, 'failed');
+    choice.recordOutcome(choice.choose(), 'failed');
+    choice.recordOutcome(choice.choose(), 'failed');
+    choice.recordOutcome(STORE, 'failed');
     expect(choice.choose(true).name).to.equal('p3:1');
   });
 
   it('returns the time until a reader may be used again', () => {
     let now = 0;
     const choice = choiceOf({ above: [member('up', 2)], below: [], isAmongFirst: true }, () => now);
-    choice.note(choice.choose(), 'stale');
+    choice.recordOutcome(choice.choose(), 'stale');
     expect(choice.usableInMs()).to.equal(0);
-    choice.note(STORE, 'failed');
+    choice.recordOutcome(STORE, 'failed');
     expect(choice.usableInMs()).to.equal(200);
     now = 200;
     expect(choice.usableInMs()).to.equal(0);
@@ -188,7 +188,7 @@
     const choice = choiceOf({ above: [member('up', 2)], below: [], isAmongFirst: true }, () => now);
     const up = choice.choose();
     for (; now < 8_000; now += 500) {
-      choice.note(up, 'stale');
+      choice.recordOutcome(up, 'stale');
     }
     expect(choice.choose()).to.equal(up);
   });
--- a/packages/entry/src/peers/reader-choice.ts
+++ b/packages/entry/src/peers/reader-choice.ts
@@ -8,7 +8,7 @@
  */
 import { monotonicMs } from '../server/time.js';
 import type { KindReader } from '../store/kind-reader.js';
-import type { ReaderChoice, ReadingOutcome } from '../store/watched-kind.js';
+import type { ReaderSelector, ReadOutcome } from '../store/watched-kind.js';
 import type { Candidates, Member } from './member.js';
 
 export type PeerReaderChoiceOptions = {
@@ -49,7 +49,7 @@
 const MAX_SILENT_PEERS = 2;
 
 /** Chooses the reader of each read, and records failures by reader. */
-export class PeerReaderChoice implements ReaderChoice {
+export class PeerReaderChoice implements ReaderSelector {
   readonly #options: PeerReaderChoiceOptions;
   readonly #avoidUntil = new Map<string, number>();
   readonly #failures = new Map<string, number>();
@@ -98,14 +98,14 @@
 
   #skipsPeers(isUrgent: boolean): boolean {
     const skips = isUrgent && this.#silentPeers >= MAX_SILENT_PEERS;
-    return skips && !this.isAvoided(this.#options.store.name);
+    return skips && !this.isBackingOff(this.#options.store.name);
   }
 
   #select(): { readonly reader: KindReader; readonly isBelow: boolean } {
     const { store, candidates } = this.#options;
     const { above, below } = candidates();
     const fromAbove = this.#firstUsable(above);
-    const fromBelow = this.isAvoided(store.name) ? this.#firstUsable(below) : undefined;
+    const fromBelow = this.isBackingOff(store.name) ? this.#firstUsable(below) : undefined;
     return {
       reader: fromAbove ?? fromBelow ?? store,
       isBelow: fromAbove === undefined && fromBelow !== undefined,
@@ -131,7 +131,7 @@
   }
 
   /** Records the outcome of a read. */
-  note(reader: KindReader, outcome: ReadingOutcome): void {
+  recordOutcome(reader: KindReader, outcome: ReadOutcome): void {
     if (outcome === 'fresh') {
       this.#avoidUntil.delete(reader.name);
       this.#failures.delete(reader.name);
@@ -139,7 +139,7 @@
       return;
     }
     // Several kinds are read at the same time; reads that fail together count as one failure.
-    if (outcome === 'failed' && !this.isAvoided(reader.name)) {
+    if (outcome === 'failed' && !this.isBackingOff(reader.name)) {
       this.#failures.set(reader.name, (this.#failures.get(reader.name) ?? 0) + 1);
       this.#silentPeers += Number(reader !== this.#options.store);
     }
@@ -147,7 +147,7 @@
   }
 
   /** True while a reader is not used after a recent failed or stale read. */
-  isAvoided(name: string): boolean {
+  isBackingOff(name: string): boolean {
     return (this.#avoidUntil.get(name) ?? -Infinity) > this.#now();
   }
 
@@ -171,6 +171,6 @@
 
   #firstUsable(members: readonly Member[]): KindReader | undefined {
     const readers = members.map(member => this.#options.readerOf(member));
-    return readers.find(reader => !this.isAvoided(reader.name));
+    return readers.find(reader => !this.isBackingOff(reader.name));
   }
 }
--- a/packages/entry/src/peers/report-exchange.ts
+++ b/packages/entry/src/peers/report-exchange.ts
@@ -94,10 +94,10 @@
       // A host that has restarted since the last delivery no longer has the reports that were delivered before.
       const isRestarted = last !== undefined && last.instance !== instance;
       this.#deliveries.set(address, { instance, sequence: isRestarted ? 0 : sequence });
-      this.#failures.succeeded();
+      this.#failures.recordSuccess();
       return true;
     } catch (error) {
-      this.#failures.failed(error);
+      this.#failures.recordFailure(error);
       return false;
     }
   }
--- a/packages/entry/src/peers/shared-counts.test.ts
+++ b/packages/entry/src/peers/shared-counts.test.ts
@@ -18,7 +18,7 @@
   followed: SharedCounts,
 ): void {
   followed.noteFollower(name, domain, follower.withFollowers());
-  follower.noteFollowed(followed.allBut(name));
+  follower.noteFollowed(followed.allExcept(name));
 }
 
 // Sums are reused for 50 ms.
@@ -38,10 +38,10 @@
       follow('head', 'b', head, top);
       await waitForNewSums();
     }
-    expect(top.ofOthers(KEY)).to.equal(1_110);
-    expect(head.ofOthers(KEY)).to.equal(1_101);
-    expect(leaf.ofOthers(KEY)).to.equal(1_011);
-    expect(leafOfTop.ofOthers(KEY)).to.equal(111);
+    expect(top.sumOfOthers(KEY)).to.equal(1_110);
+    expect(head.sumOfOthers(KEY)).to.equal(1_101);
+    expect(leaf.sumOfOthers(KEY)).to.equal(1_011);
+    expect(leafOfTop.sumOfOthers(KEY)).to.equal(111);
   });
 
   it('of a failure domain include only the hosts of that failure domain', () => {
--- a/packages/entry/src/peers/shared-counts.ts
+++ b/packages/entry/src/peers/shared-counts.ts
@@ -32,7 +32,7 @@
   }
 
   /** Returns the sum over all other entry hosts for a key. */
-  ofOthers(key: string): number {
+  sumOfOthers(key: string): number {
     return this.#sumOfOthers().get(key) ?? 0;
   }
 
@@ -83,7 +83,7 @@
   }
 
   /** Returns the counts of all hosts but one follower of this host and the followers of that one. */
-  allBut(follower: string): Counts {
+  allExcept(follower: string): Counts {
     const reported = this.#followers.get(follower);
     const sums = sumOf([this.#own(), [...this.#sumOfOthers()]]);
     if (reported !== undefined && isFresh(reported)) {
--- a/packages/entry/src/peers/shared-reports.ts
+++ b/packages/entry/src/peers/shared-reports.ts
@@ -7,9 +7,9 @@
 import { FailureSeries } from '../server/failure-series.js';
 import type { Log } from '../server/log.js';
 import { monotonicMs } from '../server/time.js';
+import { parseLimitReports, parseReportsReply } from './parse-messages.js';
 import type { ReportsReply, ReportsRequest } from './peer-messages.js';
 import { PEER_REQUESTS } from './peer-messages.js';
-import { readLimitReports, readReportsReply } from './read-messages.js';
 import type { ReportSource } from './report-exchange.js';
 import { ReportExchange } from './report-exchange.js';
 
@@ -24,7 +24,7 @@
    * request that they answer; without it the host sent them unrequested. Returns true where all reports of that host
    * should be requested.
    */
-  readonly limitReportsHeard: (reports: readonly LimitReport[], requestedAt?: number) => boolean;
+  readonly limitReportsReceived: (reports: readonly LimitReport[], requestedAt?: number) => boolean;
   /** Hosts that have announced their shutdown. */
   readonly leavingHosts: ReportSource<HostIncarnation>;
 };
@@ -68,7 +68,7 @@
   }
 
   /** Sends undelivered reports of hosts that are shutting down; called when there are new ones or other receivers. */
-  shareLeaving(): void {
+  shareLeavingHosts(): void {
     this.#leaving.flush();
   }
 
@@ -76,12 +76,12 @@
   shareAll(): void {
     this.shareRuns();
     this.shareLimits();
-    this.shareLeaving();
+    this.shareLeavingHosts();
   }
 
   /** Handles rate limit reports that another entry host sent unrequested. */
-  limitsHeard(reports: readonly LimitReport[], from: string): void {
-    if (this.#options.limitReportsHeard(reports)) {
+  limitReportsReceived(reports: readonly LimitReport[], from: string): void {
+    if (this.#options.limitReportsReceived(reports)) {
       void this.#requestLimits(from);
     }
   }
@@ -94,7 +94,7 @@
   }
 
   async #requestLimits(name: string): Promise<void> {
-    const { links, addressOf, limitReportsHeard } = this.#options;
+    const { links, addressOf, limitReportsReceived: limitReportsHeard } = this.#options;
     const address = addressOf(name);
     if (address === undefined) {
       return;
@@ -103,10 +103,10 @@
     try {
       const link = links.to(address);
       const reply = await link.request<unknown>(PEER_REQUESTS.askLimits, null, REQUEST_TIMEOUT_MS);
-      limitReportsHeard(readLimitReports(reply), requestedAt);
-      this.#requestFailures.succeeded();
+      limitReportsHeard(parseLimitReports(reply), requestedAt);
+      this.#requestFailures.recordSuccess();
     } catch (error) {
-      this.#requestFailures.failed(error);
+      this.#requestFailures.recordFailure(error);
     }
   }
 
@@ -115,7 +115,7 @@
     const send = async (address: string, reports: readonly T[]): Promise<ReportsReply> => {
       const request: ReportsRequest<T> = { reports };
       const link = links.to(address);
-      return readReportsReply(await link.request<unknown>(message, request, REQUEST_TIMEOUT_MS));
+      return parseReportsReply(await link.request<unknown>(message, request, REQUEST_TIMEOUT_MS));
     };
     return new ReportExchange({ about, source, addresses: neighbours, send, log });
   }
--- a/packages/entry/src/peers/shared-tally.ts
+++ b/packages/entry/src/peers/shared-tally.ts
@@ -49,7 +49,7 @@
   }
 
   /** Returns the tally of all hosts but one follower of this host and the followers of that one. */
-  allBut(follower: string): Tally {
-    return { loads: this.loads.allBut(follower), work: this.work.allBut(follower) };
+  allExcept(follower: string): Tally {
+    return { loads: this.loads.allExcept(follower), work: this.work.allExcept(follower) };
   }
 }
--- a/packages/entry/src/quarantine/crash-evidence.test.ts
+++ b/packages/entry/src/quarantine/crash-evidence.test.ts
@@ -3,13 +3,13 @@
 import fc from 'fast-check';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 
-import type { CrashDay } from '../testing/crash-days.js';
-import { playCrashDay } from '../testing/crash-days.js';
+import type { CrashScenario } from '../testing/crash-simulation.js';
+import { simulateCrashes } from '../testing/crash-simulation.js';
 import { CrashEvidence } from './crash-evidence.js';
 import type { CrashReport } from './run-report.js';
 
 /** The base of each simulation: no losses except of single hosts. */
-const BASE_SCENARIO: CrashDay = {
+const BASE_SCENARIO: CrashScenario = {
   hosts: 16,
   requestsPerS: 40,
   crashing: 0,
@@ -41,11 +41,11 @@
   endedBy: number[];
 };
 
-function simulate(variations: fc.Arbitrary<Partial<CrashDay>>): Totals {
+function simulate(variations: fc.Arbitrary<Partial<CrashScenario>>): Totals {
   const totals: Totals = { harmless: 0, quarantined: 0, alikeQuarantined: 0, endedBy: [] };
   fc.sample(fc.tuple(variations, fc.integer()), { seed: SEED, numRuns: SIMULATIONS }).forEach(
     ([change, seed]) => {
-      const result = playCrashDay({ ...BASE_SCENARIO, ...change }, randomOf(seed));
+      const result = simulateCrashes({ ...BASE_SCENARIO, ...change }, randomOf(seed));
       totals.harmless += result.harmless;
       totals.quarantined += result.quarantined;
       totals.alikeQuarantined += Number(result.isAlikeQuarantined);
@@ -173,7 +173,7 @@
       found.push(...quarantined());
     }
     expect(found).to.deep.equal(['a']);
-    expect(evidence.crashesOf('a')).to.be.at.most(6);
+    expect(evidence.crashCountOf('a')).to.be.at.most(6);
   });
 
   it('quarantines at least one when no run separates them', () => {
@@ -255,7 +255,7 @@
       now += 1;
       evidence.note(crashOf(`f${index}`, `h${index}`));
     }
-    expect(evidence.suspects).to.be.at.most(2_048);
+    expect(evidence.suspectCount).to.be.at.most(2_048);
     expect(evidence.isSuspect('twice')).to.equal(true);
     expect(evidence.since(0).length).to.be.at.most(2_100);
   });
--- a/packages/entry/src/quarantine/crash-evidence.ts
+++ b/packages/entry/src/quarantine/crash-evidence.ts
@@ -36,7 +36,7 @@
 /**
  * Score at which a request is quarantined. Harmless requests may reach two, since the route lets each run twice.
  */
-export const LEAST_CRASHES = 3;
+export const QUARANTINE_THRESHOLD = 3;
 /** Score at which a request is quarantined even if another one may be the cause. */
 const CERTAIN_SCORE = 5;
 /** Number of crashes that two requests must share for either to be a possible cause of the other's crashes. */
@@ -98,7 +98,7 @@
   }
 
   /** Number of requests with crashes that are neither cleared nor quarantined. */
-  get suspects(): number {
+  get suspectCount(): number {
     return [...this.#suspects.values()].filter(one => one.crashes.length > 0 && !one.isQuarantined)
       .length;
   }
@@ -110,11 +110,11 @@
 
   /** True when the request has crashes, so that a completed run of it has to be reported. */
   isSuspect(fingerprint: RequestFingerprint): boolean {
-    return this.crashesOf(fingerprint) > 0;
+    return this.crashCountOf(fingerprint) > 0;
   }
 
   /** Number of hosts that ended while they ran the request. */
-  crashesOf(fingerprint: RequestFingerprint): number {
+  crashCountOf(fingerprint: RequestFingerprint): number {
     return this.#suspects.get(fingerprint)?.crashes.length ?? 0;
   }
 
@@ -170,7 +170,7 @@
   }
 
   /** Marks a request as quarantined; its crashes no longer count against other requests. */
-  quarantine(fingerprint: RequestFingerprint, hosts: readonly string[]): void {
+  noteQuarantined(fingerprint: RequestFingerprint, hosts: readonly string[]): void {
     this.#suspectOf(fingerprint).isQuarantined = true;
     hosts.forEach(host => {
       this.#attributedHosts.add(host);
@@ -277,7 +277,7 @@
     let strongest: { readonly suspect: Suspect; readonly score: number } | undefined;
     for (const suspect of suspects) {
       const crashScore = this.#scoreOf(suspect, settledAt);
-      const isEnough = crashScore.score >= LEAST_CRASHES && !suspect.isQuarantined;
+      const isEnough = crashScore.score >= QUARANTINE_THRESHOLD && !suspect.isQuarantined;
       const isUnambiguous =
         crashScore.score >= CERTAIN_SCORE || !this.#hasOtherCause(suspect, crashScore, settledAt);
       if (isEnough && isUnambiguous && crashScore.score > (strongest?.score ?? 0)) {
--- a/packages/entry/src/quarantine/lost-runs.test.ts
+++ b/packages/entry/src/quarantine/lost-runs.test.ts
@@ -27,9 +27,9 @@
         probes += 1;
         return new Promise(resolve => setTimeout(resolve, 5, outcome));
       },
-      isExpected: () => true,
-      progressedAt: () => -Infinity,
-      ended: host => {
+      isAccepting: () => true,
+      lastProgressAt: () => -Infinity,
+      hostEnded: host => {
         ended.push(host);
       },
       counters,
@@ -86,7 +86,7 @@
   });
 
   it('at a host that has announced its shutdown are no evidence and start no probe', async () => {
-    const lost = lostRuns('ended', { isExpected: () => false });
+    const lost = lostRuns('ended', { isAccepting: () => false });
     lost.note(RUN);
     await settle();
     expect(ended).to.deep.equal([]);
@@ -94,7 +94,7 @@
   });
 
   it('at a host that refuses new connections while another run makes progress are no evidence', async () => {
-    const lost = lostRuns('ended', { progressedAt: () => Infinity });
+    const lost = lostRuns('ended', { lastProgressAt: () => Infinity });
     lost.note(RUN);
     await settle();
     expect(ended).to.deep.equal([]);
--- a/packages/entry/src/quarantine/lost-runs.ts
+++ b/packages/entry/src/quarantine/lost-runs.ts
@@ -30,11 +30,11 @@
 export type LostRunsOptions = {
   readonly probe: (host: HostEntry) => Promise<ProbeOutcome>;
   /** True while the host is registered and has not announced its shutdown. */
-  readonly isExpected: (host: HostEntry) => boolean;
+  readonly isAccepting: (host: HostEntry) => boolean;
   /** When bytes last came from the host, in monotonic milliseconds. */
-  readonly progressedAt: (hostId: string) => number;
+  readonly lastProgressAt: (hostId: string) => number;
   /** Called when a host has ended with runs in progress. */
-  readonly ended: (host: EndedHost) => void;
+  readonly hostEnded: (host: EndedHost) => void;
   readonly counters: Counters;
   /** Returns monotonic milliseconds; tests replace it. */
   readonly now?: () => number;
@@ -61,7 +61,7 @@
 
   /** Adds a lost run and probes its host, unless a probe is in progress. */
   note(run: LostRun): void {
-    const { isExpected, counters } = this.#options;
+    const { isAccepting: isExpected, counters } = this.#options;
     // A host that announced its shutdown, or whose entry was removed, may end with unfinished requests.
     if (!isExpected(run.host)) {
       counters.count('lost_runs_total', { host: 'leaving' });
@@ -79,7 +79,7 @@
   }
 
   async #classify(host: HostEntry, key: string): Promise<void> {
-    const { probe, progressedAt, ended, counters } = this.#options;
+    const { probe, lastProgressAt: progressedAt, hostEnded: ended, counters } = this.#options;
     const outcome = await probe(host);
     const losses = this.#lossesByHost.get(key) ?? [];
     this.#lossesByHost.delete(key);
--- a/packages/entry/src/quarantine/quarantine-keeper.ts
+++ b/packages/entry/src/quarantine/quarantine-keeper.ts
@@ -5,9 +5,9 @@
 import type { ObjectStore } from '../store/object-store.js';
 import { OBJECT_KINDS } from '../store/object-store.js';
 import type { QuarantinedRequest } from './quarantined-request.js';
-import { isExpired, objectValue } from './quarantined-request.js';
+import { isExpired, storedValueOf } from './quarantined-request.js';
 import type { QuarantinedRequests } from './quarantined-requests.js';
-import { MOST_QUARANTINED } from './quarantined-requests.js';
+import { MAX_QUARANTINED } from './quarantined-requests.js';
 
 /** What a {@link QuarantineKeeper} works with. */
 export type QuarantineKeeperOptions = {
@@ -60,7 +60,7 @@
   async #trim(): Promise<void> {
     const { requests } = this.#options;
     const { oldest } = requests;
-    if (requests.size > MOST_QUARANTINED && oldest !== undefined) {
+    if (requests.size > MAX_QUARANTINED && oldest !== undefined) {
       await this.#recordOutcomeOf(() =>
         this.#remove(oldest, 'limit reached, oldest entry removed'),
       );
@@ -74,9 +74,9 @@
   async #recordOutcomeOf(call: () => Promise<void>): Promise<void> {
     try {
       await call();
-      this.#failures.succeeded();
+      this.#failures.recordSuccess();
     } catch (error) {
-      this.#failures.failed(error);
+      this.#failures.recordFailure(error);
     }
   }
 
@@ -85,7 +85,7 @@
     const { fingerprint, revision } = request;
     if (revision === undefined) {
       const kind = OBJECT_KINDS.quarantine;
-      const { object } = await store.create(kind, fingerprint, objectValue(request));
+      const { object } = await store.create(kind, fingerprint, storedValueOf(request));
       // If the object exists already, an earlier lease holder has written it.
       if (object !== undefined) {
         requests.noteWritten(object);
@@ -102,7 +102,7 @@
       (await store.remove(OBJECT_KINDS.quarantine, fingerprint, revision));
     // Otherwise a trial has updated the object, and the watch delivers that update.
     if (isRemoved) {
-      requests.lift(fingerprint, reason);
+      requests.remove(fingerprint, reason);
     }
   }
 }
--- a/packages/entry/src/quarantine/quarantine-trials.test.ts
+++ b/packages/entry/src/quarantine/quarantine-trials.test.ts
@@ -2,10 +2,10 @@
 import { expect } from 'chai';
 
 import { silentLog } from '../server/log.js';
-import { newMetrics } from '../server/metrics.js';
+import { createMetrics } from '../server/metrics.js';
 import type { ObjectKind, ObjectStore, StoredObject, WriteAnswer } from '../store/object-store.js';
 import { StoreError } from '../store/object-store.js';
-import { NO_STORE } from '../testing/no-store.js';
+import { REFUSING_STORE } from '../testing/refusing-store.js';
 import { QuarantineKeeper } from './quarantine-keeper.js';
 import { QuarantineTrials } from './quarantine-trials.js';
 import { QuarantinedRequests } from './quarantined-requests.js';
@@ -22,7 +22,7 @@
   #revision = 0;
 
   readonly store: ObjectStore = {
-    ...NO_STORE,
+    ...REFUSING_STORE,
     create: (_kind: ObjectKind, name, value) => this.#write(!this.objects.has(name), name, value),
     replace: (_kind: ObjectKind, name, value, revision) =>
       this.#write(this.objects.get(name)?.revision === revision, name, value),
@@ -49,13 +49,13 @@
 /** Holds one request, in quarantine since a wall-clock time in milliseconds. */
 function requestsSince(since: number): QuarantinedRequests {
   const requests = new QuarantinedRequests({
-    entered: () => undefined,
-    left: () => undefined,
+    added: () => undefined,
+    removed: () => undefined,
     log: silentLog(),
-    metrics: newMetrics(),
+    metrics: createMetrics(),
     wallNow: () => since,
   });
-  requests.quarantine(VERDICT);
+  requests.add(VERDICT);
   return requests;
 }
 
--- a/packages/entry/src/quarantine/quarantine-trials.ts
+++ b/packages/entry/src/quarantine/quarantine-trials.ts
@@ -7,7 +7,7 @@
 import type { ObjectStore } from '../store/object-store.js';
 import { OBJECT_KINDS } from '../store/object-store.js';
 import type { QuarantinedRequest } from './quarantined-request.js';
-import { nextTrialAt, objectValue } from './quarantined-request.js';
+import { nextTrialAt, storedValueOf } from './quarantined-request.js';
 import type { QuarantinedRequests } from './quarantined-requests.js';
 import type { RequestFingerprint } from './request-fingerprint.js';
 
@@ -68,7 +68,7 @@
     }
     const claimed = { ...request, trials: trials + 1, lastTrialAt: Date.now() };
     try {
-      const value = objectValue(claimed);
+      const value = storedValueOf(claimed);
       const answer = await store.replace(OBJECT_KINDS.quarantine, fingerprint, value, revision);
       if (answer.object !== undefined) {
         requests.noteWritten(answer.object);
--- a/packages/entry/src/quarantine/quarantined-request.ts
+++ b/packages/entry/src/quarantine/quarantined-request.ts
@@ -43,7 +43,7 @@
 }
 
 /** Returns the value of the request's object in the store. */
-export function objectValue(request: QuarantinedRequest): unknown {
+export function storedValueOf(request: QuarantinedRequest): unknown {
   const { route, workspace, hosts, since, trials, lastTrialAt } = request;
   return {
     route,
@@ -56,7 +56,7 @@
 }
 
 /** Parses an object of the store; undefined when it is not a quarantined request. */
-export function readQuarantined(object: StoredObject): QuarantinedRequest | undefined {
+export function parseQuarantinedRequest(object: StoredObject): QuarantinedRequest | undefined {
   const value = (object.value ?? {}) as Readonly<Record<string, unknown>>;
   const { route, workspace, hosts, since, trials, lastTrialAt } = value;
   const isReadable =
--- a/packages/entry/src/quarantine/quarantined-requests.test.ts
+++ b/packages/entry/src/quarantine/quarantined-requests.test.ts
@@ -2,10 +2,15 @@
 import { expect } from 'chai';
 
 import { silentLog } from '../server/log.js';
-import { newMetrics } from '../server/metrics.js';
+import { createMetrics } from '../server/metrics.js';
 import type { StoredObject } from '../store/object-store.js';
 import type { QuarantinedRequest } from './quarantined-request.js';
-import { isExpired, nextTrialAt, objectValue, readQuarantined } from './quarantined-request.js';
+import {
+  isExpired,
+  nextTrialAt,
+  parseQuarantinedRequest,
+  storedValueOf,
+} from './quarantined-request.js';
 import { QuarantinedRequests } from './quarantined-requests.js';
 
 const VERDICT = { fingerprint: 'f', route: 'chat', workspace: 'north', hosts: ['h1', 'h2', 'h3'] };
@@ -21,32 +26,32 @@
     entered = [];
     left = [];
     requests = new QuarantinedRequests({
-      entered: ({ fingerprint }) => entered.push(fingerprint),
-      left: fingerprint => left.push(fingerprint),
+      added: ({ fingerprint }) => entered.push(fingerprint),
+      removed: fingerprint => left.push(fingerprint),
       log: silentLog(),
-      metrics: newMetrics(),
+      metrics: createMetrics(),
       wallNow: () => NOW,
     });
   });
 
   function objectOf(request: QuarantinedRequest, revision: number): StoredObject {
-    return { name: request.fingerprint, revision, value: objectValue(request) };
+    return { name: request.fingerprint, revision, value: storedValueOf(request) };
   }
 
   function quarantined(): QuarantinedRequest {
-    requests.quarantine(VERDICT);
+    requests.add(VERDICT);
     return requests.get('f') as QuarantinedRequest;
   }
 
   it('are unchanged when written to the store and read back', () => {
     const request = quarantined();
-    const read = readQuarantined(objectOf(request, 4));
+    const read = parseQuarantinedRequest(objectOf(request, 4));
     expect(read).to.deep.equal({ ...request, revision: 4 });
   });
 
   it('are known to an entry host that has only read the store', () => {
     const request = quarantined();
-    requests.lift('f', 'test');
+    requests.remove('f', 'test');
     requests.observer.listed({ objects: [objectOf(request, 4)], revision: 5 });
     expect(requests.get('f')?.hosts).to.deep.equal(VERDICT.hosts);
     expect(entered).to.deep.equal(['f', 'f']);
@@ -83,7 +88,7 @@
 
   it('are limited in memory when the store cannot be written', () => {
     for (let index = 0; index < 5_000; index++) {
-      requests.quarantine({ ...VERDICT, fingerprint: `f${index}` });
+      requests.add({ ...VERDICT, fingerprint: `f${index}` });
     }
     expect(requests.size).to.be.at.most(2_000);
   });
--- a/packages/entry/src/quarantine/quarantined-requests.ts
+++ b/packages/entry/src/quarantine/quarantined-requests.ts
@@ -11,15 +11,15 @@
 import type { KindObserver } from '../store/watched-kind.js';
 import type { CrashVerdict } from './crash-evidence.js';
 import type { QuarantinedRequest } from './quarantined-request.js';
-import { readQuarantined } from './quarantined-request.js';
+import { parseQuarantinedRequest } from './quarantined-request.js';
 import type { RequestFingerprint } from './request-fingerprint.js';
 
 /** What {@link QuarantinedRequests} works with. */
 export type QuarantinedRequestsOptions = {
   /** Called when a request was added that was not in quarantine before. */
-  readonly entered: (request: QuarantinedRequest) => void;
+  readonly added: (request: QuarantinedRequest) => void;
   /** Called when a request was removed: by an operator, after a successful trial, or as the oldest over the limit. */
-  readonly left: (fingerprint: RequestFingerprint) => void;
+  readonly removed: (fingerprint: RequestFingerprint) => void;
   readonly log: Log;
   readonly metrics: Metrics;
   /** Returns wall-clock milliseconds; tests replace it. */
@@ -30,9 +30,9 @@
  * Maximum number of requests in the store; beyond it the oldest is removed. This limits the list to 200 kB when a
  * caller sends thousands of requests that crash hosts.
  */
-export const MOST_QUARANTINED = 500;
+export const MAX_QUARANTINED = 500;
 /** Maximum number of requests in memory (2 MB), which also holds while the store cannot be written. */
-const MAX_IN_MEMORY = 4 * MOST_QUARANTINED;
+const MAX_IN_MEMORY = 4 * MAX_QUARANTINED;
 
 /** The set of quarantined requests of one entry host. */
 export class QuarantinedRequests {
@@ -41,7 +41,7 @@
 
   constructor(options: QuarantinedRequestsOptions) {
     this.#options = options;
-    options.metrics.gauges.follow('quarantined_requests', () => [
+    options.metrics.gauges.register('quarantined_requests', () => [
       { labels: {}, value: this.#requests.size },
     ]);
   }
@@ -68,14 +68,14 @@
   }
 
   /** Adds a request that this entry host has found to crash its hosts. */
-  quarantine({ fingerprint, hosts, route, workspace }: CrashVerdict): void {
+  add({ fingerprint, hosts, route, workspace }: CrashVerdict): void {
     const since = (this.#options.wallNow ?? Date.now)();
     const origin = { fingerprint, hosts, route, workspace };
     this.#add({ ...origin, since, trials: 0, lastTrialAt: undefined, revision: undefined });
   }
 
   /** Removes a request from quarantine. */
-  lift(fingerprint: RequestFingerprint, reason: string): void {
+  remove(fingerprint: RequestFingerprint, reason: string): void {
     const request = this.#requests.get(fingerprint);
     if (request === undefined) {
       return;
@@ -83,7 +83,7 @@
     this.#requests.delete(fingerprint);
     const { route, workspace } = request;
     this.#options.log.info('request left quarantine', { fingerprint, reason, route, workspace });
-    this.#options.left(fingerprint);
+    this.#options.removed(fingerprint);
   }
 
   /** Applies an object that was written to the store. */
@@ -111,7 +111,7 @@
       const isOlder =
         request.revision !== undefined && !isLaterRevision(request.revision, revision);
       if (isOlder && !listed.has(request.fingerprint)) {
-        this.lift(request.fingerprint, 'removed from the store');
+        this.remove(request.fingerprint, 'removed from the store');
       }
     }
     objects.forEach(object => {
@@ -136,7 +136,7 @@
       if (!deleted) {
         this.#applyObject(object);
       } else if (!isLaterRevision(this.#revisionOf(object.name), object.revision)) {
-        this.lift(object.name, 'removed from the store');
+        this.remove(object.name, 'removed from the store');
       }
     }
   }
@@ -147,7 +147,7 @@
   }
 
   #applyObject(object: StoredObject): void {
-    const request = readQuarantined(object);
+    const request = parseQuarantinedRequest(object);
     if (request === undefined) {
       const { name, revision } = object;
       this.#options.log.warn('quarantine entry can not be read', { name, revision });
@@ -165,7 +165,7 @@
     if (known !== undefined) {
       return;
     }
-    const { log, metrics, entered } = this.#options;
+    const { log, metrics, added: entered } = this.#options;
     const source = revision === undefined ? 'evidence' : 'store';
     metrics.counters.count('requests_quarantined_total', { source });
     const ended = hosts.join(',');
@@ -177,7 +177,7 @@
   #enforceLimit(): void {
     const { oldest } = this;
     if (this.#requests.size > MAX_IN_MEMORY && oldest !== undefined) {
-      this.lift(oldest.fingerprint, 'limit reached, oldest entry removed');
+      this.remove(oldest.fingerprint, 'limit reached, oldest entry removed');
     }
   }
 }
--- a/packages/entry/src/quarantine/request-quarantine.ts
+++ b/packages/entry/src/quarantine/request-quarantine.ts
@@ -14,7 +14,7 @@
 import { monotonicMs, sleep } from '../server/time.js';
 import type { ObjectStore } from '../store/object-store.js';
 import type { KindObserver } from '../store/watched-kind.js';
-import { CrashEvidence, LEAST_CRASHES } from './crash-evidence.js';
+import { CrashEvidence, QUARANTINE_THRESHOLD } from './crash-evidence.js';
 import type { ProbeOutcome } from './host-probe.js';
 import type { EndedHost } from './lost-runs.js';
 import { LostRuns } from './lost-runs.js';
@@ -31,15 +31,15 @@
   readonly holdsLease: () => boolean;
   readonly probe: (host: HostEntry) => Promise<ProbeOutcome>;
   /** True while the host is registered and has not announced its shutdown. */
-  readonly isExpected: (host: HostEntry) => boolean;
+  readonly isAccepting: (host: HostEntry) => boolean;
   /** When bytes last came from a host, in monotonic milliseconds. */
-  readonly progressedAt: (hostId: string) => number;
+  readonly lastProgressAt: (hostId: string) => number;
   /** Called when a host ended with requests of this entry host in progress. */
   readonly hostEnded: (host: HostEntry) => void;
   /** Called when this or another entry host reported that a host ended with requests in progress. */
-  readonly hostEndedAnywhere: (host: HostIncarnation) => void;
+  readonly hostEndReported: (host: HostIncarnation) => void;
   /** Called when there are new reports to send to the peers. */
-  readonly reported: () => void;
+  readonly reportsAdded: () => void;
   readonly log: Log;
   readonly metrics: Metrics;
 };
@@ -47,7 +47,12 @@
 /** The part of the quarantine that a relay uses. */
 export type QuarantineGate = Pick<
   RequestQuarantine,
-  'claimTrial' | 'guard' | 'holds' | 'decided' | 'runLost' | 'runCompleted'
+  | 'claimTrial'
+  | 'cancelWhenQuarantined'
+  | 'isQuarantined'
+  | 'awaitVerdict'
+  | 'runLost'
+  | 'runCompleted'
 >;
 
 /** A request in progress, which is cancelled when it is quarantined. */
@@ -76,29 +81,39 @@
 
   constructor(options: RequestQuarantineOptions) {
     this.#options = options;
-    const { store, holdsLease, probe, isExpected, progressedAt, log, metrics } = options;
+    const {
+      store,
+      holdsLease,
+      probe,
+      isAccepting: isExpected,
+      lastProgressAt: progressedAt,
+      log,
+      metrics,
+    } = options;
     this.#requests = new QuarantinedRequests({
-      entered: request => {
+      added: request => {
         this.#onQuarantined(request);
       },
-      left: fingerprint => {
-        this.take([{ kind: 'completed', fingerprint, ageMs: 0 }]);
+      removed: fingerprint => {
+        this.addReports([{ kind: 'completed', fingerprint, ageMs: 0 }]);
       },
       log,
       metrics,
     });
     this.#lostRuns = new LostRuns({
       probe,
-      isExpected,
-      progressedAt,
-      ended: host => {
+      isAccepting: isExpected,
+      lastProgressAt: progressedAt,
+      hostEnded: host => {
         this.#hostEnded(host);
       },
       counters: metrics.counters,
     });
     this.#trials = new QuarantineTrials({ requests: this.#requests, store, log });
     this.#keeper = new QuarantineKeeper({ requests: this.#requests, store, holdsLease, log });
-    metrics.gauges.follow('crash_suspects', () => [{ labels: {}, value: this.evidence.suspects }]);
+    metrics.gauges.register('crash_suspects', () => [
+      { labels: {}, value: this.evidence.suspectCount },
+    ]);
   }
 
   /** The requests in quarantine. */
@@ -125,7 +140,7 @@
   /**
    * True when a request must not be sent. The fingerprint is only computed while any request is in quarantine.
    */
-  holds(fingerprint: () => RequestFingerprint): boolean {
+  isQuarantined(fingerprint: () => RequestFingerprint): boolean {
     return this.#requests.size > 0 && this.#requests.get(fingerprint()) !== undefined;
   }
 
@@ -135,7 +150,7 @@
   }
 
   /** Calls `cancel` when the request is quarantined, until the returned function is called. */
-  guard({ fingerprint }: RequestContext, cancel: () => void): () => void {
+  cancelWhenQuarantined({ fingerprint }: RequestContext, cancel: () => void): () => void {
     const guarded = { fingerprint, cancel };
     this.#guarded.add(guarded);
     return () => {
@@ -163,7 +178,7 @@
    * Waits until it is decided whether a lost request is quarantined, since a retry before that could end one more
    * host. Resolves at once for requests with too few crashes to be quarantined.
    */
-  async decided({ fingerprint, gone }: RequestContext): Promise<void> {
+  async awaitVerdict({ fingerprint, callerSignal: gone }: RequestContext): Promise<void> {
     const deadline = monotonicMs() + MAX_DECISION_MS;
     while (this.#isVerdictPending(fingerprint()) && monotonicMs() < deadline && !gone.aborted) {
       await sleep(DECISION_STEP_MS, gone);
@@ -171,7 +186,7 @@
   }
 
   /** Adds reports of this or other entry hosts. */
-  take(reports: readonly RunReport[]): void {
+  addReports(reports: readonly RunReport[]): void {
     const newReports = reports.filter(report => this.evidence.note(report) === 'taken');
     if (newReports.length === 0) {
       return;
@@ -180,24 +195,24 @@
       this.#apply(report);
     });
     this.#scheduleEvaluation();
-    this.#options.reported();
+    this.#options.reportsAdded();
   }
 
   #apply(report: RunReport): void {
-    const { metrics, hostEndedAnywhere } = this.#options;
+    const { metrics, hostEndReported: hostEndedAnywhere } = this.#options;
     metrics.counters.count('run_reports_total', { kind: report.kind });
     if (report.kind === 'crashed') {
       hostEndedAnywhere(report.host);
     } else {
-      this.#requests.lift(report.fingerprint, 'completed by a host');
+      this.#requests.remove(report.fingerprint, 'completed by a host');
     }
   }
 
   #isVerdictPending(fingerprint: RequestFingerprint): boolean {
     const isPending = this.#lostRuns.isPending(fingerprint);
-    const crashes = this.evidence.crashesOf(fingerprint) + Number(isPending);
+    const crashes = this.evidence.crashCountOf(fingerprint) + Number(isPending);
     const isUndecided = isPending || this.evidence.isPending(fingerprint);
-    return isUndecided && crashes >= LEAST_CRASHES;
+    return isUndecided && crashes >= QUARANTINE_THRESHOLD;
   }
 
   #hostEnded({ host, reports }: EndedHost): void {
@@ -209,7 +224,7 @@
       requests: reports.length,
       suspects: this.#formatSuspects(reports),
     });
-    this.take(reports);
+    this.addReports(reports);
     hostEnded(host);
   }
 
@@ -217,7 +232,7 @@
   #formatSuspects(reports: readonly RunReport[]): string {
     const counted = reports.map(({ fingerprint }) => ({
       fingerprint,
-      crashes: this.evidence.crashesOf(fingerprint) + 1,
+      crashes: this.evidence.crashCountOf(fingerprint) + 1,
     }));
     return counted
       .sort((a, b) => b.crashes - a.crashes)
@@ -232,7 +247,7 @@
       void this.#trials.remove(request);
     }
     if (request !== undefined || this.evidence.isSuspect(fingerprint)) {
-      this.take([{ kind: 'completed', fingerprint, ageMs: 0 }]);
+      this.addReports([{ kind: 'completed', fingerprint, ageMs: 0 }]);
     }
   }
 
@@ -244,14 +259,14 @@
     }
     this.#evaluationTimer = setTimeout(() => {
       this.evidence.evaluate().forEach(verdict => {
-        this.#requests.quarantine(verdict);
+        this.#requests.add(verdict);
       });
       this.#scheduleEvaluation();
     }, dueInMs + 1);
   }
 
   #onQuarantined({ fingerprint, hosts }: QuarantinedRequest): void {
-    this.evidence.quarantine(fingerprint, hosts);
+    this.evidence.noteQuarantined(fingerprint, hosts);
     for (const guarded of [...this.#guarded]) {
       if (guarded.fingerprint() === fingerprint) {
         guarded.cancel();
--- a/packages/entry/src/rate-limits/combined-pace.ts
+++ b/packages/entry/src/rate-limits/combined-pace.ts
@@ -17,10 +17,10 @@
 }
 
 /** Milliseconds until any entry host may send the host a request; 0 without a limit. */
-export function combinedPlaceInMs(
+export function combinedNextSendByAnyInMs(
   paces: readonly PacedSends[],
   host: HostEntry,
   now: number,
 ): number {
-  return Math.max(...paces.map(pace => pace.placeInMs(host, now)));
+  return Math.max(...paces.map(pace => pace.nextSendByAnyInMs(host, now)));
 }
--- a/packages/entry/src/rate-limits/named-limits.test.ts
+++ b/packages/entry/src/rate-limits/host-rate-limits.test.ts
@@ -4,8 +4,8 @@
 import type { LogFields } from '../server/log.js';
 import { silentLog } from '../server/log.js';
 import { Counters, Gauges } from '../server/metrics.js';
+import { HostRateLimits } from './host-rate-limits.js';
 import { RETURN_SPREAD_MS } from './known-limit.js';
-import { NamedLimits } from './named-limits.js';
 
 const HOST: HostIncarnation = { id: 'h', startedAt: 1 };
 
@@ -15,10 +15,10 @@
   reported = 0;
   readonly lines: LogFields[] = [];
   readonly counters = new Counters();
-  readonly limits = new NamedLimits({
+  readonly limits = new HostRateLimits({
     log: { ...silentLog(), info: (message, fields) => this.lines.push({ message, ...fields }) },
     bounds: () => ({ limitWindowMs: 4_000, limitOvershoot: 1.5, limitSlack: 5 }),
-    reported: () => (this.reported += 1),
+    onChange: () => (this.reported += 1),
     counters: this.counters,
     gauges: new Gauges(),
     now: () => this.now,
@@ -26,7 +26,7 @@
 
   receive(perSecond: number, askedAt = this.now, host = HOST): void {
     const isLimited = perSecond !== Infinity;
-    this.limits.hear(
+    this.limits.receiveNotice(
       host,
       isLimited ? { kind: 'limited', perSecond } : { kind: 'unlimited' },
       askedAt,
@@ -40,12 +40,12 @@
     entry.now = 1_000;
     entry.receive(1.5);
     entry.receive(1.2);
-    expect(entry.limits.limited).to.equal(1);
-    entry.limits.noteSend(HOST);
-    entry.limits.noteSend({ id: 'other' });
+    expect(entry.limits.limitedHosts).to.equal(1);
+    entry.limits.countSend(HOST);
+    entry.limits.countSend({ id: 'other' });
     entry.now = 9_000;
     entry.receive(Infinity);
-    expect(entry.limits.limited).to.equal(0);
+    expect(entry.limits.limitedHosts).to.equal(0);
     const end = { host: 'h', forMs: 8_000, sent: 1 };
     expect(entry.lines).to.deep.equal([
       { message: 'host has set a rate limit', host: 'h', perSecond: 1.5, source: 'own-answer' },
@@ -60,19 +60,19 @@
     entry.receive(1);
     entry.now = 1_100;
     entry.receive(Infinity, 900);
-    expect(entry.limits.limited).to.equal(1);
+    expect(entry.limits.limitedHosts).to.equal(1);
     entry.receive(Infinity, 1_050);
-    expect(entry.limits.limited).to.equal(0);
+    expect(entry.limits.limitedHosts).to.equal(0);
   });
 
   it('are kept per host incarnation, and not for hosts without a limit', () => {
     const entry = new TestEntry();
     entry.receive(Infinity);
     entry.receive(1, 0, { id: 'h', startedAt: 2 });
-    expect(entry.limits.limited).to.equal(1);
+    expect(entry.limits.limitedHosts).to.equal(1);
     entry.now = 10;
     entry.receive(Infinity);
-    expect(entry.limits.limited).to.equal(1);
+    expect(entry.limits.limitedHosts).to.equal(1);
     expect(entry.lines).to.have.length(1);
   });
 
@@ -81,21 +81,21 @@
     informed.now = 1_000;
     informed.receive(2);
     other.now = 50_000;
-    other.limits.take(informed.limits.since(0));
+    other.limits.receiveReports(informed.limits.since(0));
     expect(other.limits.boundOf(HOST, other.now)?.limit.perWindow).to.equal(8);
     expect(other.reported).to.equal(1);
     // A report that is already known is not reported again.
-    other.limits.take(informed.limits.since(0));
+    other.limits.receiveReports(informed.limits.since(0));
     expect(other.reported).to.equal(1);
     const { sequence } = informed.limits;
     informed.now = 5_000;
     informed.receive(Infinity);
     other.now = 54_000;
     const end = informed.limits.since(sequence);
-    expect(other.limits.take(end), 'should be requested').to.equal(true);
-    expect(other.limits.limited).to.equal(1);
-    other.limits.take(end, other.now - 10);
-    expect(other.limits.limited).to.equal(0);
+    expect(other.limits.receiveReports(end), 'should be requested').to.equal(true);
+    expect(other.limits.limitedHosts).to.equal(1);
+    other.limits.receiveReports(end, other.now - 10);
+    expect(other.limits.limitedHosts).to.equal(0);
     expect(other.limits.boundOf(HOST, other.now + RETURN_SPREAD_MS)).to.equal(undefined);
   });
 
@@ -108,15 +108,15 @@
     late.now = 9_000;
     late.receive(1);
     late.now = 9_500;
-    late.limits.take(end);
-    expect(late.limits.limited).to.equal(1);
+    late.limits.receiveReports(end);
+    expect(late.limits.limitedHosts).to.equal(1);
     // A requested report has a known maximum age, which shows that this one is older.
     early.now = 10_000;
     late.now = 10_000;
-    late.limits.take(early.limits.since(0), 9_990);
-    expect(late.limits.limited).to.equal(1);
-    early.limits.take(late.limits.since(0));
-    expect(early.limits.limited).to.equal(1);
+    late.limits.receiveReports(early.limits.since(0), 9_990);
+    expect(late.limits.limitedHosts).to.equal(1);
+    early.limits.receiveReports(late.limits.since(0));
+    expect(early.limits.limitedHosts).to.equal(1);
   });
 
   it('pass to the next owners if no former owner receives an answer, and stay with them', () => {
@@ -132,7 +132,7 @@
     const other = new TestEntry();
     other.receive(1);
     other.now = 22_000;
-    other.limits.take(entry.limits.since(0), 22_000);
+    other.limits.receiveReports(entry.limits.since(0), 22_000);
     expect(other.limits.boundOf(HOST, 22_000)?.turn).to.equal(2);
   });
 
--- a/packages/entry/src/rate-limits/named-limits.ts
+++ b/packages/entry/src/rate-limits/host-rate-limits.ts
@@ -6,29 +6,29 @@
  * reports it to its peers, and they apply it without an answer of their own from the host.
  */
 import type { HostIncarnation } from '../hosts/host-entry.js';
-import { StartMemory } from '../hosts/start-memory.js';
-import type { WordSource } from '../requests/host-notice.js';
+import { HostStartMap } from '../hosts/host-start-map.js';
+import type { NoticeSource } from '../requests/host-notice.js';
 import type { LimitNotice } from '../requests/limit-notice.js';
 import type { Log } from '../server/log.js';
 import type { Counters, Gauges } from '../server/metrics.js';
 import type { KnownLimit, LimitBounds } from './known-limit.js';
 import {
+  afterAnswer,
   afterReport,
-  afterWord,
   boundOf,
   isLimiting,
-  isWorthAsking,
   reportOf,
+  shouldRequestReport,
 } from './known-limit.js';
 import type { LimitReport } from './limit-report.js';
 import type { SendBound } from './paced-sends.js';
 
 /** Options of the rate limits of hosts. */
-export type NamedLimitsOptions = {
+export type HostRateLimitsOptions = {
   /** Called at each use, since settings may change. */
   readonly bounds: () => LimitBounds;
   /** Called when there is a change to report to peers. */
-  readonly reported: () => void;
+  readonly onChange: () => void;
   readonly log: Log;
   readonly counters: Counters;
   readonly gauges: Gauges;
@@ -65,18 +65,18 @@
 const END_REPORTED_MS = 600_000;
 
 /** Rate limits of hosts, kept until they end and shared with the peers. */
-export class NamedLimits {
-  readonly #options: NamedLimitsOptions;
-  readonly #records = new StartMemory<LimitRecord>();
+export class HostRateLimits {
+  readonly #options: HostRateLimitsOptions;
+  readonly #records = new HostStartMap<LimitRecord>();
   #sequence = 0;
 
-  constructor(options: NamedLimitsOptions) {
+  constructor(options: HostRateLimitsOptions) {
     this.#options = options;
-    options.gauges.follow('hosts_limited', () => [{ labels: {}, value: this.limited }]);
+    options.gauges.register('hosts_limited', () => [{ labels: {}, value: this.limitedHosts }]);
   }
 
   /** Number of hosts that have a limit which an answer has confirmed within the last ten minutes. */
-  get limited(): number {
+  get limitedHosts(): number {
     const from = this.#options.now() - END_REPORTED_MS;
     const isLimited = ({ known }: LimitRecord): boolean =>
       isLimiting(known.word) && known.confirmedAt >= from;
@@ -100,7 +100,7 @@
   }
 
   /** Receives the limit notice of an answer; its request was sent at `askedAt`, in monotonic milliseconds. */
-  hear(host: HostIncarnation, notice: LimitNotice, askedAt: number): void {
+  receiveNotice(host: HostIncarnation, notice: LimitNotice, askedAt: number): void {
     if (notice.kind === 'untold') {
       return;
     }
@@ -112,19 +112,19 @@
     const { now, random } = this.#moment();
     const word = { perSecond: isLimited ? notice.perSecond : Infinity, askedAt, heardAt: now };
     const before = this.#records.get(host);
-    this.#update(before, afterWord(before?.known, host, word, { now, random }), 'own-answer');
+    this.#update(before, afterAnswer(before?.known, host, word, { now, random }), 'own-answer');
   }
 
   /**
    * Receives reports from a peer; `requestedAt` is absent for unrequested reports. Returns true if the reports should
    * be requested from the peer, since unrequested ones may be too old to be applied in full.
    */
-  readonly take = (reports: readonly LimitReport[], requestedAt?: number): boolean => {
+  readonly receiveReports = (reports: readonly LimitReport[], requestedAt?: number): boolean => {
     let shouldRequest = false;
     for (const report of reports) {
       const before = this.#records.get(report.host);
       const moment = this.#moment();
-      shouldRequest ||= isWorthAsking(before?.known, report, moment.now);
+      shouldRequest ||= shouldRequestReport(before?.known, report, moment.now);
       const known = afterReport(before?.known, report, moment, requestedAt);
       this.#update(before, known, 'other-entry-host');
     }
@@ -148,7 +148,7 @@
   }
 
   /** Counts a request that was claimed for a host with a limit. */
-  readonly noteSend = (host: HostIncarnation): void => {
+  readonly countSend = (host: HostIncarnation): void => {
     const record = this.#records.get(host);
     if (record !== undefined) {
       this.#options.counters.count('sends_to_limited_hosts_total');
@@ -164,7 +164,7 @@
   #update(
     before: LimitRecord | undefined,
     known: KnownLimit | undefined,
-    source: WordSource,
+    source: NoticeSource,
   ): void {
     if (known === undefined) {
       return;
@@ -176,12 +176,12 @@
     this.#records.set(known.host, { known, reported, sequence, sent });
     if (isToReport) {
       this.#sequence = sequence;
-      this.#options.reported();
+      this.#options.onChange();
     }
   }
 
   // Returns true if a limit of the host begins or ends.
-  #logChange(before: LimitRecord | undefined, known: KnownLimit, source: WordSource): boolean {
+  #logChange(before: LimitRecord | undefined, known: KnownLimit, source: NoticeSource): boolean {
     const { log, now } = this.#options;
     const isLimited = isLimiting(known.word);
     const wasLimited = before !== undefined && isLimiting(before.known.word);
--- a/packages/entry/src/rate-limits/known-limit.ts
+++ b/packages/entry/src/rate-limits/known-limit.ts
@@ -1,8 +1,8 @@
 /** Known rate limit of one host incarnation at an entry host. Pure functions; times in monotonic milliseconds. */
 import type { HostIncarnation } from '../hosts/host-entry.js';
+import type { LimitObservation } from './limit-observation.js';
+import { currentObservation } from './limit-observation.js';
 import type { LimitReport } from './limit-report.js';
-import type { LimitWord } from './limit-word.js';
-import { holdingWord } from './limit-word.js';
 import type { SendBound } from './paced-sends.js';
 import type { RateLimit } from './rate-share.js';
 
@@ -10,7 +10,7 @@
 export type KnownLimit = {
   readonly host: HostIncarnation;
   /** The current observation. */
-  readonly word: LimitWord;
+  readonly word: LimitObservation;
   /** Requests per second: the current limit or, after it has ended, the last one. */
   readonly perSecond: number;
   /** When this entry host learned of the current uninterrupted period of limits. */
@@ -73,15 +73,15 @@
 const MS_PER_S = 1_000;
 
 /** True for an observation of a limit that has an effect. */
-export function isLimiting({ perSecond }: LimitWord): boolean {
+export function isLimiting({ perSecond }: LimitObservation): boolean {
   return perSecond < UNLIMITED_FROM_PER_S;
 }
 
 /** Returns the state after one more answer of the host itself; undefined if there is nothing to remember. */
-export function afterWord(
+export function afterAnswer(
   known: KnownLimit | undefined,
   host: HostIncarnation,
-  word: LimitWord,
+  word: LimitObservation,
   at: Moment,
 ): KnownLimit | undefined {
   const turn = known === undefined ? 0 : turnOf(known, at.now);
@@ -110,7 +110,7 @@
 }
 
 /** True if an unrequested report could raise or end the limit, or change the turn, once it is requested. */
-export function isWorthAsking(
+export function shouldRequestReport(
   known: KnownLimit | undefined,
   report: LimitReport,
   now: number,
@@ -163,7 +163,7 @@
     const initial = { host, word, perSecond, since: now, until: Infinity, confirmedAt, turn };
     return isLimiting(word) ? initial : undefined;
   }
-  const current = holdingWord(known.word, word);
+  const current = currentObservation(known.word, word);
   const wasLimited = isLimiting(known.word);
   const confirmation =
     confirmedAt > known.confirmedAt ? { confirmedAt, turn } : { confirmedAt: known.confirmedAt };
--- a/packages/entry/src/rate-limits/limit-word.ts
+++ b/packages/entry/src/rate-limits/limit-observation.ts
@@ -1,7 +1,7 @@
 /** A host's rate limit as observed in one answer, and which of two such observations is current. Pure functions. */
 
 /** A rate limit observed in one answer. The host set it at some time between the two times. */
-export type LimitWord = {
+export type LimitObservation = {
   /** Requests per second from all entry hosts together; Infinity without a limit. */
   readonly perSecond: number;
   /** When the request was sent, in monotonic milliseconds of this process; -Infinity if unknown. */
@@ -15,7 +15,10 @@
  * Answers can overtake each other, so an observation is certainly newer only if its request was sent after the other
  * one's answer was received.
  */
-export function holdingWord(known: LimitWord, next: LimitWord): LimitWord {
+export function currentObservation(
+  known: LimitObservation,
+  next: LimitObservation,
+): LimitObservation {
   if (next.askedAt > known.heardAt) {
     return next;
   }
--- a/packages/entry/src/rate-limits/paced-sends.test.ts
+++ b/packages/entry/src/rate-limits/paced-sends.test.ts
@@ -26,7 +26,7 @@
     self,
     members: () => VIEW,
     boundOf: bound,
-    taken: () => undefined,
+    onClaim: () => undefined,
   });
 }
 
@@ -91,8 +91,8 @@
 
   it('report when any entry host may send', () => {
     const bound = boundOf(0.5);
-    expect(sendsOf(() => bound).placeInMs(HOST, 0)).to.equal(INTERVAL_MS);
-    expect(sendsOf(() => bound, ORDER[7]).placeInMs(HOST, 0)).to.equal(2_000);
-    expect(sendsOf(() => undefined).placeInMs(HOST, 0)).to.equal(0);
+    expect(sendsOf(() => bound).nextSendByAnyInMs(HOST, 0)).to.equal(INTERVAL_MS);
+    expect(sendsOf(() => bound, ORDER[7]).nextSendByAnyInMs(HOST, 0)).to.equal(2_000);
+    expect(sendsOf(() => undefined).nextSendByAnyInMs(HOST, 0)).to.equal(0);
   });
 });
--- a/packages/entry/src/rate-limits/paced-sends.ts
+++ b/packages/entry/src/rate-limits/paced-sends.ts
@@ -38,7 +38,7 @@
   /** The bound on sends to a host at a time; undefined for a host without a limit. */
   readonly boundOf: (host: HostEntry, now: number) => SendBound | undefined;
   /** Called when an allowance has been used for a request to the host. */
-  readonly taken: (host: HostEntry) => void;
+  readonly onClaim: (host: HostEntry) => void;
 };
 
 /** When and how often this entry host may send to a host. */
@@ -105,7 +105,7 @@
       claims: claims + 1,
       written: claims === 0 ? last : written,
     });
-    this.#options.taken(host);
+    this.#options.onClaim(host);
     return true;
   };
 
@@ -159,7 +159,7 @@
    * Milliseconds until any entry host may send the host a request: the time until this entry host may, if it owns a
    * share, else the mean time between two requests of all owners. 0 without a bound.
    */
-  placeInMs(host: HostEntry, now: number): number {
+  nextSendByAnyInMs(host: HostEntry, now: number): number {
     const allowance = this.#allowanceOf(host, now);
     if (allowance === undefined) {
       return 0;
--- a/packages/entry/src/requests/attempt-log.test.ts
+++ b/packages/entry/src/requests/attempt-log.test.ts
@@ -8,7 +8,7 @@
 function contextOf(route: Partial<RequestContext['route']>): RequestContext {
   return {
     route: { kind: 'stream', resumable: true, maxAttempts: 2, ...route },
-    gone: new AbortController().signal,
+    callerSignal: new AbortController().signal,
     deadline: monotonicMs() + 5_000,
     isQuarantined: () => false,
   } as RequestContext;
@@ -22,7 +22,7 @@
   it('bounds attempts by the route, whatever happened to the hosts', () => {
     const log = new AttemptLog(contextOf({ maxAttempts: 2 }), unusedBudget());
     log.noteSent({ id: 'first' });
-    log.noteMayRun();
+    log.noteMayHaveRun();
     expect(log.takeRetry()).to.equal(true);
     log.noteSent({ id: 'second' });
     expect(log.takeRetry()).to.equal(false);
@@ -54,7 +54,7 @@
     log.noteSent({ id: 'full' });
     log.noteRejected();
     log.noteSent({ id: 'silent' });
-    log.noteMayRun();
+    log.noteMayHaveRun();
     expect(log.takeRetry()).to.equal(false);
   });
 
@@ -65,7 +65,7 @@
     );
     log.noteSent({ id: 'first' });
     expect(log.canRetry()).to.equal(true);
-    log.noteMayRun();
+    log.noteMayHaveRun();
     expect(log.canRetry()).to.equal(false);
   });
 
@@ -85,11 +85,11 @@
     const budget = unusedBudget();
     const log = new AttemptLog(context, budget);
     log.noteSent({ id: 'h1' });
-    log.noteMayRun();
+    log.noteMayHaveRun();
     expect(log.canRetry()).to.equal(true);
     isQuarantined = true;
     expect(log.takeRetry()).to.equal(false);
-    expect(log.couldMove('beside')).to.equal(false);
+    expect(log.canHedge('beside')).to.equal(false);
   });
 
   it('excludes a host only until its restart', () => {
--- a/packages/entry/src/requests/attempt-log.ts
+++ b/packages/entry/src/requests/attempt-log.ts
@@ -1,7 +1,7 @@
 /** Records the attempts of one request and decides whether it may be sent again. */
 import type { HostIncarnation } from '../hosts/host-entry.js';
 import { incarnationOf } from '../hosts/host-entry.js';
-import type { RepeatReason, RetryBudget } from '../routing/retry-budget.js';
+import type { RetryBudget, RetryReason } from '../routing/retry-budget.js';
 import { monotonicMs } from '../server/time.js';
 import type { RequestContext } from './request-context.js';
 import { mayRepeat } from './request-context.js';
@@ -61,23 +61,23 @@
   }
 
   /** Records that a host may be running the request or has run it. */
-  noteMayRun(): void {
+  noteMayHaveRun(): void {
     this.#mayHaveRun = true;
   }
 
   /** True if the request may be sent to one more host; then the retry is taken from the budget. */
-  takeRetry(reason: RepeatReason = 'lost'): boolean {
+  takeRetry(reason: RetryReason = 'lost'): boolean {
     return this.canRetry() && (this.#sendCount() === 0 || this.#budget.take(reason));
   }
 
   /** True if a stream in progress could be sent to one more host as well; takes nothing from the budget. */
-  couldMove(reason: RepeatReason): boolean {
-    return mayRepeat(this.#context.route) && this.canRetry() && this.#budget.hasRoom(reason);
+  canHedge(reason: RetryReason): boolean {
+    return mayRepeat(this.#context.route) && this.canRetry() && this.#budget.hasAllowance(reason);
   }
 
   /** True if the request may be sent once more, without regard to the budget. */
   canRetry(): boolean {
-    const { gone: callerSignal, deadline, route, isQuarantined } = this.#context;
+    const { callerSignal: callerSignal, deadline, route, isQuarantined } = this.#context;
     if (callerSignal.aborted || isQuarantined() || deadline - monotonicMs() < MIN_REMAINING_MS) {
       return false;
     }
--- a/packages/entry/src/requests/await-target.ts
+++ b/packages/entry/src/requests/await-target.ts
@@ -1,14 +1,14 @@
 /** Waits for a request's next target while one may still become available in time. */
+import type { TargetAvailability } from '../routing/target-availability.js';
 import type { Target, TargetQuery } from '../routing/target-chooser.js';
-import type { TargetOutlook } from '../routing/target-outlook.js';
-import { describeStandings } from '../routing/target-standings.js';
+import { describeStatuses } from '../routing/target-status.js';
 import { monotonicMs, sleep } from '../server/time.js';
 import { claimTarget } from './claim-target.js';
 import { awaitPacedTarget } from './paced-wait.js';
 import type { RelayServices } from './relay-services.js';
 import type { RequestContext } from './request-context.js';
-import type { NoTargetReason, Waiter } from './wait-for-target.js';
-import { LEAST_RUN_MS, noTargetReason, waitsForTarget } from './wait-for-target.js';
+import type { NoTargetReason, WaitingRequest } from './wait-for-target.js';
+import { MIN_RUN_MS, noTargetReason, shouldWaitForTarget } from './wait-for-target.js';
 
 /** The result if no target became available in time, or if none can. */
 export type NoTarget = {
@@ -33,13 +33,13 @@
   context: RequestContext,
   query: () => TargetQuery,
 ): Promise<Target | NoTarget> {
-  const { gone: callerSignal, deadline, route } = context;
+  const { callerSignal: callerSignal, deadline, route } = context;
   const wait = new WaitTimer(context);
   const isTrial = context.isQuarantined() && (await services.quarantine.claimTrial(context));
   // Requests that already wait for a paced host are served first.
   const currentQuery = (): TargetQuery => ({
     ...query(),
-    leavesPaced: services.pacedWaits.count(query()) > 0,
+    skipsLimitedHosts: services.pacedQueues.count(query()) > 0,
   });
   for (;;) {
     if (!isTrial && context.isQuarantined()) {
@@ -49,15 +49,20 @@
     if (target !== undefined) {
       return target;
     }
-    const outlook = services.chooser.outlook(currentQuery());
+    const outlook = services.chooser.availability(currentQuery());
     const waiter = wait.measure(outlook, monotonicMs());
-    if (callerSignal.aborted || !waitsForTarget(outlook, waiter)) {
+    if (callerSignal.aborted || !shouldWaitForTarget(outlook, waiter)) {
       const until = deadline - route.objectiveMs;
-      const paced = await awaitPacedTarget(services, query, { until, gone: callerSignal });
+      const paced = await awaitPacedTarget(services, query, {
+        latestSendAt: until,
+        callerSignal: callerSignal,
+      });
       if (!isTrial && context.isQuarantined()) {
         return quarantinedResult(services);
       }
-      return paced ?? noTarget(services, services.chooser.outlook(query()), callerSignal.aborted);
+      return (
+        paced ?? noTarget(services, services.chooser.availability(query()), callerSignal.aborted)
+      );
     }
     await sleep(pauseMs(waiter), callerSignal);
   }
@@ -70,19 +75,19 @@
 
 function noTarget(
   { counters }: RelayServices,
-  outlook: TargetOutlook,
+  outlook: TargetAvailability,
   hasDisconnected: boolean,
 ): NoTarget {
   const reason = noTargetReason(outlook);
   if (!hasDisconnected) {
     counters.count('requests_without_target_total', { reason });
   }
-  return { reason, targets: describeStandings(outlook.standings) };
+  return { reason, targets: describeStatuses(outlook.statuses) };
 }
 
-function pauseMs({ lackingMs, leftMs }: Waiter): number {
+function pauseMs({ waitedMs: lackingMs, leftMs }: WaitingRequest): number {
   const proportionalMs = Math.min(MAX_PAUSE_MS, Math.max(MIN_PAUSE_MS, lackingMs * PAUSE_FRACTION));
-  return Math.min(proportionalMs, Math.max(1, leftMs - LEAST_RUN_MS));
+  return Math.min(proportionalMs, Math.max(1, leftMs - MIN_RUN_MS));
 }
 
 /** Measures for how long one request has waited for a target, and for how long for the formation of a group. */
@@ -102,13 +107,13 @@
    * than planned, and a request sent after its time limit has passed would not be ended by that limit.
    */
   get mayClaim(): boolean {
-    const { gone: callerSignal, deadline } = this.#context;
-    const hasTime = !this.#hasWaited || deadline - monotonicMs() >= LEAST_RUN_MS;
+    const { callerSignal: callerSignal, deadline } = this.#context;
+    const hasTime = !this.#hasWaited || deadline - monotonicMs() >= MIN_RUN_MS;
     return !callerSignal.aborted && hasTime;
   }
 
   /** The state of the wait at `now`, in monotonic milliseconds; to be called once for each new outlook. */
-  measure({ formingMs }: TargetOutlook, now: number): Waiter {
+  measure({ formingMs }: TargetAvailability, now: number): WaitingRequest {
     this.#hasWaited = true;
     if (formingMs !== this.#formingMs) {
       this.#formingMs = formingMs;
@@ -116,7 +121,7 @@
     }
     const { deadline, response } = this.#context;
     return {
-      lackingMs: now - this.#waitingSince,
+      waitedMs: now - this.#waitingSince,
       formingForMs: now - this.#formingSince,
       leftMs: deadline - now,
       begun: response.headersSent,
--- a/packages/entry/src/requests/backoff-wait.test.ts
+++ b/packages/entry/src/requests/backoff-wait.test.ts
@@ -8,7 +8,7 @@
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 
-import { waitsForTarget } from './wait-for-target.js';
+import { shouldWaitForTarget } from './wait-for-target.js';
 
 const ENTRY_HOSTS = 8;
 const HOSTS = 3;
@@ -42,9 +42,9 @@
 
 const refusingAtOnce: Policy = () => false;
 const implementedPolicy: Policy = (backoffMs, leftMs) =>
-  waitsForTarget(
-    { standings: ['backing-off'], formingMs: undefined, backoffMs },
-    { lackingMs: 0, formingForMs: 0, leftMs, begun: false },
+  shouldWaitForTarget(
+    { statuses: ['backing-off'], formingMs: undefined, backoffMs },
+    { waitedMs: 0, formingForMs: 0, leftMs, begun: false },
   );
 
 /** One simulated outage. */
--- a/packages/entry/src/requests/connection-choice.ts
+++ b/packages/entry/src/requests/connection-choice.ts
@@ -9,7 +9,7 @@
  * request, which then gets a new connection of its own. The upstream host may close a kept connection just as a
  * request is sent. Whether the request ran is then unknown, and a request that may run only once would have to fail.
  */
-export function connectionsFor(
+export function keptConnectionsFor(
   { connectionsOf, counters }: RelayServices,
   { route, service }: RequestContext,
 ): UpstreamConnections | undefined {
--- a/packages/entry/src/requests/connection-reuse.test.ts
+++ b/packages/entry/src/requests/connection-reuse.test.ts
@@ -2,7 +2,7 @@
 import { expect } from 'chai';
 import fc from 'fast-check';
 
-import { announcedIdleMs, keptIdleMs, USUAL_IDLE_MS } from './connection-reuse.js';
+import { announcedIdleMs, DEFAULT_IDLE_MS, keptIdleMs } from './connection-reuse.js';
 
 describe('the idle time of a kept connection', () => {
   it('is read from the Keep-Alive header', () => {
@@ -15,7 +15,7 @@
   });
 
   it('is the default one if the upstream host announces none', () => {
-    expect(keptIdleMs(undefined)).to.equal(USUAL_IDLE_MS);
+    expect(keptIdleMs(undefined)).to.equal(DEFAULT_IDLE_MS);
   });
 
   it('ends before the announced one, by a margin for timers that fire late', () => {
--- a/packages/entry/src/requests/connection-reuse.ts
+++ b/packages/entry/src/requests/connection-reuse.ts
@@ -4,7 +4,7 @@
  * Idle time in milliseconds where the upstream host announces none. It lies below 5 s, the shortest default
  * keep-alive timeout of common HTTP servers.
  */
-export const USUAL_IDLE_MS = 4_000;
+export const DEFAULT_IDLE_MS = 4_000;
 /**
  * Longest idle time, in milliseconds. The longer a connection is idle, the more likely it has broken unnoticed, and
  * connections to hosts that no longer receive requests use up the connection limits of those hosts.
@@ -29,7 +29,7 @@
 /** Time for which an idle connection is kept, in milliseconds; 0 if it must not be kept. */
 export function keptIdleMs(announcedMs: number | undefined): number {
   if (announcedMs === undefined) {
-    return USUAL_IDLE_MS;
+    return DEFAULT_IDLE_MS;
   }
   const marginMs = Math.min(MAX_MARGIN_MS, announcedMs * MARGIN_FRACTION);
   return Math.min(MAX_IDLE_MS, announcedMs - marginMs);
--- a/packages/entry/src/requests/crowded-host.test.ts
+++ b/packages/entry/src/requests/crowded-host.test.ts
@@ -5,15 +5,15 @@
  */
 import { expect } from 'chai';
 
-import { MOST_CONNECT_MS } from '../routing/connect-times.js';
+import { MAX_CONNECT_MS } from '../routing/connect-times.js';
 import { monotonicMs } from '../server/time.js';
-import { relayServices, requestContext, UpstreamStandIn } from '../testing/relay.js';
+import { relayServices, requestContext, TestUpstreamHost } from '../testing/relay.js';
 import { PlainRelay } from './plain-relay.js';
 import { StreamRelay } from './stream-relay.js';
 import { UpstreamConnections } from './upstream-connections.js';
 
 const HEAD = { 'x-request-id': 'r', 'x-stamp': 's' };
-const BUSY_MS = MOST_CONNECT_MS + 300;
+const BUSY_MS = MAX_CONNECT_MS + 300;
 const RELAYS = [
   { Relay: PlainRelay, route: { kind: 'idempotent', resumable: false, objectiveMs: 5_000 } },
   { Relay: StreamRelay, route: { kind: 'stream', resumable: true, objectiveMs: 5_000 } },
@@ -22,10 +22,10 @@
 describe('a host whose connections are all in use', () => {
   for (const { Relay, route } of RELAYS) {
     it(`receives no further ${route.kind} request, and is not treated as unreachable`, async () => {
-      const busy = new UpstreamStandIn(response => {
+      const busy = new TestUpstreamHost(response => {
         setTimeout(() => response.writeHead(200, HEAD).end('id: 1\ndata: 1\n\n'), BUSY_MS);
       });
-      const other = new UpstreamStandIn(response => {
+      const other = new TestUpstreamHost(response => {
         response.writeHead(200, HEAD).end('id: 1\ndata: 1\n\n');
       });
       const busyTarget = await busy.listen('h0');
@@ -44,7 +44,7 @@
         new Relay(second.context, services).run(),
       ]);
       expect([first.answer.status, second.answer.status]).to.deep.equal([200, 200]);
-      expect([busy.seen.length, other.seen.length]).to.deep.equal([1, 1]);
+      expect([busy.receivedIds.length, other.receivedIds.length]).to.deep.equal([1, 1]);
       expect(services.activities.isAvoided('h0', monotonicMs())).to.equal(false);
       expect(suspicions).to.equal(0);
       connections.destroy();
--- a/packages/entry/src/requests/event-forwarder.test.ts
+++ b/packages/entry/src/requests/event-splitter.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai';
 import fc from 'fast-check';
 
-import { EventForwarder } from './event-forwarder.js';
+import { EventSplitter } from './event-splitter.js';
 
 describe('event splitter', () => {
   it('returns complete events only, however the bytes are split into chunks', () => {
@@ -9,10 +9,10 @@
     fc.assert(
       fc.property(fc.array(fc.nat(stream.length), { maxLength: 12 }), cuts => {
         const points = [0, ...cuts.sort((a, b) => a - b), stream.length];
-        const splitter = new EventForwarder(undefined);
+        const splitter = new EventSplitter(undefined);
         let passed = Buffer.alloc(0);
         for (let index = 0; index + 1 < points.length; index++) {
-          const events = splitter.feed(stream.subarray(points[index], points[index + 1]));
+          const events = splitter.append(stream.subarray(points[index], points[index + 1]));
           if (events !== undefined) {
             passed = Buffer.concat([passed, events]);
             expect(passed.toString().endsWith('\n\n')).to.equal(true);
@@ -26,12 +26,12 @@
   });
 
   it('drops an incomplete event when another attempt resumes the stream', () => {
-    const splitter = new EventForwarder('4');
-    splitter.feed(Buffer.from('id: 5\ndata: a\n\nid: 6\nda'));
+    const splitter = new EventSplitter('4');
+    splitter.append(Buffer.from('id: 5\ndata: a\n\nid: 6\nda'));
     expect(splitter.lastEventId).to.equal('5');
     expect(splitter.pendingBytes).to.be.greaterThan(0);
-    splitter.restart();
-    expect(splitter.feed(Buffer.from('id: 6\ndata: b\n\n'))?.toString()).to.equal(
+    splitter.dropIncompleteEvent();
+    expect(splitter.append(Buffer.from('id: 6\ndata: b\n\n'))?.toString()).to.equal(
       'id: 6\ndata: b\n\n',
     );
   });
--- a/packages/entry/src/requests/event-forwarder.ts
+++ b/packages/entry/src/requests/event-splitter.ts
@@ -7,7 +7,7 @@
 const ID_FIELD = 'id:';
 
 /** Splits a byte stream of server-sent events (WHATWG HTML, 9.2) after complete events. */
-export class EventForwarder {
+export class EventSplitter {
   #partialEvent: Buffer | undefined;
   #lastEventId: string | undefined;
   #batches = 0;
@@ -32,7 +32,7 @@
   }
 
   /** Adds bytes and returns all buffered bytes up to the end of the last complete event; undefined if there is none. */
-  feed(chunk: Buffer): Buffer | undefined {
+  append(chunk: Buffer): Buffer | undefined {
     const bytes =
       this.#partialEvent === undefined ? chunk : Buffer.concat([this.#partialEvent, chunk]);
     const end = bytes.lastIndexOf(EVENT_END);
@@ -49,7 +49,7 @@
   }
 
   /** Drops the incomplete event, before another attempt resumes the stream after the last complete event. */
-  restart(): void {
+  dropIncompleteEvent(): void {
     this.#partialEvent = undefined;
   }
 }
--- a/packages/entry/src/requests/exchange.test.ts
+++ b/packages/entry/src/requests/exchange.test.ts
@@ -5,9 +5,9 @@
 import { expect } from 'chai';
 
 import type { HostEntry } from '../hosts/host-entry.js';
-import { ConnectTimes, MOST_CONNECT_MS } from '../routing/connect-times.js';
+import { ConnectTimes, MAX_CONNECT_MS } from '../routing/connect-times.js';
 import { monotonicMs, sleep } from '../server/time.js';
-import { UpstreamStandIn } from '../testing/relay.js';
+import { TestUpstreamHost } from '../testing/relay.js';
 import type { ExchangeEnd } from './exchange.js';
 import { startExchange } from './exchange.js';
 import { UpstreamConnections } from './upstream-connections.js';
@@ -43,13 +43,13 @@
         headers: ['host', 'models.example'],
         body: undefined,
         connections,
-        connects,
+        connectTimes: connects,
         mayWrite,
         requestId: 'r',
-        unwritten: () => undefined,
-        heard: () => undefined,
+        onNotWritten: () => undefined,
+        onAnswerHead: () => undefined,
       },
-      { head: () => undefined, data: () => undefined, ended: resolve },
+      { onHead: () => undefined, onData: () => undefined, onEnd: resolve },
     );
     setTimeout(() => {
       started.cancel();
@@ -59,8 +59,8 @@
 
 describe('an exchange', () => {
   it('that waits for a free connection longer than the connect timeout never reaches the host', async () => {
-    const upstream = new UpstreamStandIn(response => {
-      setTimeout(() => response.end('ok'), MOST_CONNECT_MS + 150);
+    const upstream = new TestUpstreamHost(response => {
+      setTimeout(() => response.end('ok'), MAX_CONNECT_MS + 150);
     });
     const { host } = await upstream.listen('h');
     const connections = new UpstreamConnections(1);
@@ -68,15 +68,15 @@
     const first = start();
     expect(await start()).to.equal('crowded');
     expect(await first).to.equal('whole');
-    expect(upstream.seen).to.have.length(1);
+    expect(upstream.receivedIds).to.have.length(1);
     expect(await start()).to.equal('whole');
-    expect(upstream.seen).to.have.length(2);
+    expect(upstream.receivedIds).to.have.length(2);
     connections.destroy();
     upstream.close();
   });
 
   it('that may no longer be written once it has a connection never reaches the host', async () => {
-    const upstream = new UpstreamStandIn(response => {
+    const upstream = new TestUpstreamHost(response => {
       setTimeout(() => response.end('ok'), 60);
     });
     const { host } = await upstream.listen('h');
@@ -96,13 +96,13 @@
     expect(await start()).to.equal('whole');
     mayWrite = false;
     expect(await start()).to.equal('withheld');
-    expect(upstream.seen).to.have.length(2);
+    expect(upstream.receivedIds).to.have.length(2);
     connections.destroy();
     upstream.close();
   });
 
   it('that is cancelled without an answer on a kept connection closes the other idle ones of the host', async () => {
-    const upstream = new UpstreamStandIn(response => {
+    const upstream = new TestUpstreamHost(response => {
       setTimeout(() => response.end('ok'), 20);
     });
     const { host: direct } = await upstream.listen('h');
@@ -122,7 +122,7 @@
 
   describe('on a kept connection', () => {
     const connections = new UpstreamConnections(10);
-    let upstream: UpstreamStandIn;
+    let upstream: TestUpstreamHost;
 
     afterEach(() => {
       upstream.close();
@@ -135,7 +135,7 @@
     // An upstream host that resets the connection `ms` after its second request, in place of an answer.
     async function resetAfter(ms: number): Promise<HostEntry> {
       let asked = 0;
-      upstream = new UpstreamStandIn((response, request) => {
+      upstream = new TestUpstreamHost((response, request) => {
         asked += 1;
         if (asked === 2) {
           setTimeout(() => request.socket.resetAndDestroy(), ms);
@@ -163,7 +163,7 @@
   });
 
   it('that is reset on a new connection is lost', async () => {
-    const upstream = new UpstreamStandIn((_, request) => request.socket.resetAndDestroy());
+    const upstream = new TestUpstreamHost((_, request) => request.socket.resetAndDestroy());
     const { host } = await upstream.listen('h');
     const connections = new UpstreamConnections(10);
     expect(await exchange(host, connections)).to.equal('lost');
@@ -181,7 +181,7 @@
   });
 
   it('does not time out if its connection was established while the event loop was blocked', async () => {
-    const upstream = new UpstreamStandIn(response => response.end('ok'));
+    const upstream = new TestUpstreamHost(response => response.end('ok'));
     const { host } = await upstream.listen('h');
     const connections = new UpstreamConnections(10);
     const ended = exchange(host, connections, connectTimesOf(1), 2_000);
--- a/packages/entry/src/requests/exchange.ts
+++ b/packages/entry/src/requests/exchange.ts
@@ -6,7 +6,7 @@
 import type { HostAnswerListener } from '../groups/host-orders.js';
 import type { HostEntry } from '../hosts/host-entry.js';
 import type { ConnectTimes } from '../routing/connect-times.js';
-import { MOST_CONNECT_MS } from '../routing/connect-times.js';
+import { MAX_CONNECT_MS } from '../routing/connect-times.js';
 import { afterTurn, monotonicMs } from '../server/time.js';
 import type { RawHeaders } from './relay-headers.js';
 import type { UpstreamConnections } from './upstream-connections.js';
@@ -20,14 +20,14 @@
   readonly body: Buffer | undefined;
   /** Pool of kept connections; undefined: the request gets a new connection of its own. */
   readonly connections: UpstreamConnections | undefined;
-  readonly connects: ConnectTimes;
+  readonly connectTimes: ConnectTimes;
   /** Called right before the request is written to a connection; false: it must not be written. */
   readonly mayWrite: () => boolean;
   /** Called once if the request ends without having been written to a connection. */
-  readonly unwritten: () => void;
+  readonly onNotWritten: () => void;
   readonly requestId: string;
   /** Called with the head (status and headers) of the host's answer, also when the answer is not used. */
-  readonly heard: HostAnswerListener;
+  readonly onAnswerHead: HostAnswerListener;
 };
 
 /**
@@ -67,7 +67,7 @@
 }
 
 /** True if the connection ended after the request was sent and before its answer was complete. */
-export function isBroken(end: string): boolean {
+export function isConnectionLost(end: string): boolean {
   return end === 'lost' || end === 'broken';
 }
 
@@ -76,9 +76,9 @@
 
 /** Callbacks of an exchange. `ended` is called exactly once, as the last one. */
 export type ExchangeObserver = {
-  readonly head: (answer: IncomingMessage) => void;
-  readonly data: (chunk: Buffer) => void;
-  readonly ended: (end: ExchangeEnd) => void;
+  readonly onHead: (answer: IncomingMessage) => void;
+  readonly onData: (chunk: Buffer) => void;
+  readonly onEnd: (end: ExchangeEnd) => void;
 };
 
 /** Controls an exchange in progress. */
@@ -96,7 +96,7 @@
   exchangeRequest: ExchangeRequest,
   observer: ExchangeObserver,
 ): Exchange {
-  const { host, method, url, headers, body, connections, connects } = exchangeRequest;
+  const { host, method, url, headers, body, connections, connectTimes: connects } = exchangeRequest;
   let ended = false;
   let answer: IncomingMessage | undefined;
   let connected = false;
@@ -118,7 +118,7 @@
     ended = true;
     connectTimer.cancel();
     if (!connected) {
-      exchangeRequest.unwritten();
+      exchangeRequest.onNotWritten();
     }
     if (end !== 'whole') {
       // If a kept connection was reset or brought no answer, other idle connections to the host may be broken too.
@@ -128,7 +128,7 @@
       }
       clientRequest.destroy();
     }
-    observer.ended(end);
+    observer.onEnd(end);
   };
   const onDisconnect = (): void => {
     if (answer !== undefined) {
@@ -153,7 +153,7 @@
   // The agent may first queue the request until a connection is free; the connect timeout is set once it has one.
   let connectTimer = afterTurn(() => {
     finish('crowded');
-  }, MOST_CONNECT_MS);
+  }, MAX_CONNECT_MS);
   clientRequest.on('socket', (socket: Socket) => {
     connectTimer.cancel();
     sentAt = monotonicMs();
@@ -172,7 +172,7 @@
         recordConnectTime();
       }
       failUnlessConnected();
-    }, connects.limitMs(host.failureDomain));
+    }, connects.timeoutMs(host.failureDomain));
     // This listener runs before the HTTP client's own one, which writes the request.
     socket.once('connect', () => {
       connectTimer.cancel();
@@ -185,14 +185,14 @@
   clientRequest.on('close', onDisconnect);
   clientRequest.on('response', incoming => {
     answer = incoming;
-    exchangeRequest.heard(host, {
+    exchangeRequest.onAnswerHead(host, {
       head: incoming,
       requestId: exchangeRequest.requestId,
       askedAt: sentAt,
     });
     incoming.on('data', (chunk: Buffer) => {
       if (!ended) {
-        observer.data(chunk);
+        observer.onData(chunk);
       }
     });
     incoming.on('error', onDisconnect);
@@ -202,7 +202,7 @@
     incoming.on('end', () => {
       finish(incoming.complete ? 'whole' : 'broken');
     });
-    observer.head(incoming);
+    observer.onHead(incoming);
   });
   clientRequest.end(body);
   return {
--- a/packages/entry/src/requests/final-answer.ts
+++ b/packages/entry/src/requests/final-answer.ts
@@ -39,7 +39,7 @@
 const MS_PER_S = 1_000;
 
 /** Sends the answer. If another one has begun, the connection is closed instead. */
-export function giveFinalAnswer(response: ServerResponse, answer: FinalAnswer): void {
+export function sendFinalAnswer(response: ServerResponse, answer: FinalAnswer): void {
   if (response.headersSent) {
     response.destroy();
     return;
--- a/packages/entry/src/requests/home-regions.test.ts
+++ b/packages/entry/src/requests/home-regions.test.ts
@@ -2,7 +2,7 @@
 
 import { RouteTable } from '../configuration/route-table.js';
 import type { Route, Workspace } from '../configuration/serving-configuration.js';
-import { RequestHomes } from './home-regions.js';
+import { RequestHomeRegions } from './home-regions.js';
 
 const LIMITS = { maxHeaderBytes: 1, maxBodyBytes: 1, headerTimeoutMs: 1, idleTimeoutMs: 1 };
 const LOOKUP = { hostHeader: 'models.example', url: '/chat/x', key: 'k' };
@@ -50,29 +50,29 @@
 
   it('are those of its route and of its workspace, and both apply', () => {
     const table = tableWith({ route: ['north'], workspace: ['east'] });
-    const homes = new RequestHomes(() => table, LOOKUP, admission);
-    expect(homes.inForce()).to.deep.equal([['north'], ['east']]);
+    const homes = new RequestHomeRegions(() => table, LOOKUP, admission);
+    expect(homes.current()).to.deep.equal([['north'], ['east']]);
   });
 
   it('are none if neither declares any', () => {
     const table = tableWith({ route: [], workspace: [] });
-    const homes = new RequestHomes(() => table, LOOKUP, admission);
-    expect(homes.inForce()).to.deep.equal([]);
+    const homes = new RequestHomeRegions(() => table, LOOKUP, admission);
+    expect(homes.current()).to.deep.equal([]);
   });
 
   it('are read from the configuration in force at each call', () => {
     let table = tableWith({ route: ['north'], workspace: ['east'] });
-    const homes = new RequestHomes(() => table, LOOKUP, admission);
-    homes.inForce();
+    const homes = new RequestHomeRegions(() => table, LOOKUP, admission);
+    homes.current();
     table = tableWith({ route: ['south'], workspace: [] });
-    expect(homes.inForce()).to.deep.equal([['south']]);
+    expect(homes.current()).to.deep.equal([['south']]);
   });
 
   it('still apply after the route or the key has been removed', () => {
     let table = tableWith({ route: ['south'], workspace: ['west'] });
-    const homes = new RequestHomes(() => table, LOOKUP, admission);
-    homes.inForce();
+    const homes = new RequestHomeRegions(() => table, LOOKUP, admission);
+    homes.current();
     table = tableWith({});
-    expect(homes.inForce()).to.deep.equal([['south'], ['west']]);
+    expect(homes.current()).to.deep.equal([['south'], ['west']]);
   });
 });
--- a/packages/entry/src/requests/home-regions.ts
+++ b/packages/entry/src/requests/home-regions.ts
@@ -9,7 +9,7 @@
 import type { HomeRegions } from '../routing/eligibility.js';
 
 /** The values of a request by which its route and workspace are looked up again in a newer configuration. */
-export type NamedByRequest = {
+export type AdmissionLookup = {
   readonly hostHeader: string;
   readonly url: string;
   /** Key of the caller; undefined if it sent none. */
@@ -23,16 +23,16 @@
 };
 
 /** Looks up the home regions of one request in the configuration in force. */
-export class RequestHomes {
+export class RequestHomeRegions {
   readonly #table: () => RouteTable | undefined;
-  readonly #lookup: NamedByRequest;
+  readonly #lookup: AdmissionLookup;
   /** Route and workspace from the newest configuration that had them; they still apply after their removal. */
   #latestAdmission: Admission;
   #resolvedTable: RouteTable | undefined;
   #homeRegions: HomeRegions;
 
   /** `table` returns the configuration in force. */
-  constructor(table: () => RouteTable | undefined, lookup: NamedByRequest, admission: Admission) {
+  constructor(table: () => RouteTable | undefined, lookup: AdmissionLookup, admission: Admission) {
     this.#table = table;
     this.#lookup = lookup;
     this.#latestAdmission = admission;
@@ -40,7 +40,7 @@
   }
 
   /** The home regions by the configuration in force now. */
-  inForce(): HomeRegions {
+  current(): HomeRegions {
     const table = this.#table();
     if (table !== undefined && table !== this.#resolvedTable) {
       this.#resolvedTable = table;
--- a/packages/entry/src/requests/host-notice.test.ts
+++ b/packages/entry/src/requests/host-notice.test.ts
@@ -2,7 +2,7 @@
 
 import { TEST_HEADERS } from '../testing/relay.js';
 import type { HostNotice } from './host-notice.js';
-import { readNotice } from './host-notice.js';
+import { readHostNotice } from './host-notice.js';
 
 function noticeOf(
   statusCode: number,
@@ -10,7 +10,7 @@
   headers: Readonly<Record<string, string>> = {},
 ): HostNotice {
   const headersDistinct = retryAfter.length === 0 ? {} : { 'retry-after': [...retryAfter] };
-  return readNotice({ statusCode, headers, headersDistinct }, TEST_HEADERS);
+  return readHostNotice({ statusCode, headers, headersDistinct }, TEST_HEADERS);
 }
 
 describe('host notice of an answer', () => {
--- a/packages/entry/src/requests/host-notice.ts
+++ b/packages/entry/src/requests/host-notice.ts
@@ -15,7 +15,7 @@
 };
 
 /** How a report about a host was received. */
-export type WordSource = 'own-answer' | 'other-entry-host';
+export type NoticeSource = 'own-answer' | 'other-entry-host';
 
 /** Names of the headers that a notice is read from. */
 export type NoticeHeaders = Pick<RelayHeaders, 'notExecuted' | 'hostLeaving'>;
@@ -31,7 +31,7 @@
 const NO_NOTICE: HostNotice = { backoffMs: 0, isLeaving: false };
 
 /** Reads the notice from an answer. */
-export function readNotice(answer: AnswerHead, names: NoticeHeaders): HostNotice {
+export function readHostNotice(answer: AnswerHead, names: NoticeHeaders): HostNotice {
   const { statusCode = 0, headers, headersDistinct } = answer;
   if (statusCode === MISDIRECTED_REQUEST) {
     return NO_NOTICE;
--- a/packages/entry/src/requests/standing-at-send.ts
+++ b/packages/entry/src/requests/host-state-at-send.ts
@@ -3,7 +3,7 @@
 import type { RelayServices } from './relay-services.js';
 
 /** The version of the known configuration, and how recently the store had confirmed configuration and hosts. */
-export type KnowledgeAtSend = {
+export type StoreFreshness = {
   /** Version of the configuration in force. */
   readonly version: number | undefined;
   /** Age of the configuration's last confirmation, in milliseconds; undefined if there was none. */
@@ -13,7 +13,7 @@
 };
 
 /** Fields of the log line; times in milliseconds, undefined if they do not apply. */
-export type StandingAtSend = KnowledgeAtSend & {
+export type HostStateAtSend = StoreFreshness & {
   /** For how much longer the host was avoided because of failures. */
   readonly avoidedMs: number | undefined;
   /** Rest of the backoff that the host had asked for. */
@@ -23,18 +23,18 @@
 };
 
 /** The known state of a host; `now` in monotonic milliseconds. */
-export function standingAtSend(
+export function hostStateAtSend(
   {
     activities,
     notices,
     namedLimits,
-    knowledge,
-  }: Pick<RelayServices, 'activities' | 'notices' | 'namedLimits' | 'knowledge'>,
+    storeFreshness: knowledge,
+  }: Pick<RelayServices, 'activities' | 'notices' | 'namedLimits' | 'storeFreshness'>,
   host: HostEntry,
   now: number,
-): StandingAtSend {
+): HostStateAtSend {
   return {
-    avoidedMs: roundedIfPositive(activities.avoidedLeftMs(host.id, now)),
+    avoidedMs: roundedIfPositive(activities.avoidanceLeftMs(host.id, now)),
     backoffMs: roundedIfPositive(notices.backoffLeftMs(host, now)),
     limitPerS: namedLimits.perSecondOf(host),
     ...knowledge(),
