--- a/packages/entry/src/requests/limit-notice.test.ts
+++ b/packages/entry/src/requests/limit-notice.test.ts
@@ -2,7 +2,7 @@
 
 import { TEST_HEADERS } from '../testing/relay.js';
 import type { LimitNotice } from './limit-notice.js';
-import { readLimit } from './limit-notice.js';
+import { readLimitNotice } from './limit-notice.js';
 
 /** The parts of an answer, and the id of the request that was sent; undefined for orders and requests for reports. */
 type AnswerParts = {
@@ -18,7 +18,7 @@
   const { statusCode = 200, limits = [], headers = OWN } = parts;
   const requestId = 'requestId' in parts ? parts.requestId : 'r';
   const headersDistinct = limits.length === 0 ? {} : { 'x-limit': [...limits] };
-  return readLimit({ statusCode, headers, headersDistinct }, TEST_HEADERS, requestId);
+  return readLimitNotice({ statusCode, headers, headersDistinct }, TEST_HEADERS, requestId);
 }
 
 describe('rate limit that an answer names', () => {
--- a/packages/entry/src/requests/limit-notice.ts
+++ b/packages/entry/src/requests/limit-notice.ts
@@ -22,7 +22,7 @@
 const NO_LIMIT_INFORMATION: LimitNotice = { kind: 'untold' };
 
 /** Reads the rate limit that an answer names; `requestId` is undefined for orders and requests for reports. */
-export function readLimit(
+export function readLimitNotice(
   { statusCode, headers, headersDistinct }: AnswerHead,
   names: LimitHeaders,
   requestId: string | undefined,
--- a/packages/entry/src/requests/may-write.ts
+++ b/packages/entry/src/requests/may-write.ts
@@ -11,9 +11,9 @@
  */
 export function mayWriteTo(
   { registry, eligibility }: Pick<RelayServices, 'registry' | 'eligibility'>,
-  { homes }: Pick<RequestContext, 'homes'>,
+  { homeRegions: homes }: Pick<RequestContext, 'homeRegions'>,
   chosen: HostEntry,
 ): boolean {
   const host = registry.latestOf(chosen);
-  return eligibility.stillMay(host, homes.inForce(), monotonicMs());
+  return eligibility.mayWrite(host, homes.current(), monotonicMs());
 }
--- a/packages/entry/src/requests/no-target.test.ts
+++ b/packages/entry/src/requests/no-target.test.ts
@@ -2,7 +2,7 @@
 import { expect } from 'chai';
 
 import type { HostEntry } from '../hosts/host-entry.js';
-import type { TargetOutlook } from '../routing/target-outlook.js';
+import type { TargetAvailability } from '../routing/target-availability.js';
 import type { Log } from '../server/log.js';
 import { monotonicMs } from '../server/time.js';
 import { relayServices, requestContext } from '../testing/relay.js';
@@ -16,25 +16,25 @@
 /** Longest time within which a refusal counts as immediate, in milliseconds. */
 const MAX_REFUSAL_MS = 1_000;
 const NO_HOSTS: ReadonlySet<string> = new Set();
-const DRAINING: TargetOutlook = {
-  standings: ['draining'],
+const DRAINING: TargetAvailability = {
+  statuses: ['draining'],
   formingMs: undefined,
   backoffMs: undefined,
 };
-const ALL_EVACUATED: TargetOutlook = {
-  standings: ['evacuated', 'evacuated'],
+const ALL_EVACUATED: TargetAvailability = {
+  statuses: ['evacuated', 'evacuated'],
   formingMs: undefined,
   backoffMs: undefined,
 };
 
 type LoggedLine = Readonly<Record<string, unknown>>;
 
-function servicesWith(outlook: TargetOutlook, lines: LoggedLine[] = []): RelayServices {
+function servicesWith(outlook: TargetAvailability, lines: LoggedLine[] = []): RelayServices {
   const services = relayServices(() => undefined);
   const warn: Log['warn'] = (message, fields) => lines.push({ message, ...fields });
   return {
     ...services,
-    chooser: { ...services.chooser, outlook: () => outlook },
+    chooser: { ...services.chooser, availability: () => outlook },
     log: { ...services.log, warn },
   } as unknown as RelayServices;
 }
--- a/packages/entry/src/requests/notice-listener.ts
+++ b/packages/entry/src/requests/notice-listener.ts
@@ -1,7 +1,7 @@
 /** Receives what hosts report about themselves in their answers. */
 import type { HostAnswerListener } from '../groups/host-orders.js';
-import { readNotice } from './host-notice.js';
-import { readLimit } from './limit-notice.js';
+import { readHostNotice } from './host-notice.js';
+import { readLimitNotice } from './limit-notice.js';
 import type { RelayHeaders } from './relay-headers.js';
 import type { RelayServices } from './relay-services.js';
 
@@ -17,7 +17,7 @@
   { notices, namedLimits }: NoticeStores,
 ): HostAnswerListener {
   return (host, { head, requestId, askedAt }) => {
-    notices.hear(host, readNotice(head, names));
-    namedLimits.hear(host, readLimit(head, names, requestId), askedAt);
+    notices.receive(host, readHostNotice(head, names));
+    namedLimits.receiveNotice(host, readLimitNotice(head, names, requestId), askedAt);
   };
 }
--- a/packages/entry/src/requests/paced-waits.ts
+++ b/packages/entry/src/requests/paced-queues.ts
@@ -2,7 +2,7 @@
 import type { TargetQuery } from '../routing/target-chooser.js';
 
 /** The entry of one request in the queue for the same paced hosts. */
-export type PacedPlace = {
+export type PacedQueueEntry = {
   /** True if no other request in the queue has waited longer. */
   readonly isFirst: () => boolean;
   /** Removes the request from the queue. */
@@ -10,8 +10,8 @@
 };
 
 /** Queues of waiting requests in the order of their arrival, by service, model and home regions. */
-export class PacedWaits {
-  readonly #queues = new Map<string, PacedPlace[]>();
+export class PacedQueues {
+  readonly #queues = new Map<string, PacedQueueEntry[]>();
 
   /** Number of requests that wait for the same paced hosts. */
   count(query: TargetQuery): number {
@@ -19,11 +19,11 @@
   }
 
   /** Appends a request to the queue; it stays there until it leaves. */
-  enter(query: TargetQuery): PacedPlace {
+  enter(query: TargetQuery): PacedQueueEntry {
     const key = queueKeyOf(query);
     const queue = this.#queues.get(key) ?? [];
     this.#queues.set(key, queue);
-    const entry: PacedPlace = {
+    const entry: PacedQueueEntry = {
       isFirst: () => queue[0] === entry,
       leave: () => {
         queue.splice(queue.indexOf(entry), 1);
--- a/packages/entry/src/requests/paced-wait.test.ts
+++ b/packages/entry/src/requests/paced-wait.test.ts
@@ -15,7 +15,7 @@
   /** Services with a cold host that can take one request per interval, the first after `nextInMs`; undefined: none. */
   function servicesWithPace(pace: SendPace | undefined): RelayServices {
     let nextAt = monotonicMs() + (pace?.nextInMs ?? Infinity);
-    const choose = ({ leavesPaced }: TargetQuery): Target | undefined => {
+    const choose = ({ skipsLimitedHosts: leavesPaced }: TargetQuery): Target | undefined => {
       if (pace === undefined || leavesPaced === true || monotonicMs() < nextAt) {
         return undefined;
       }
@@ -31,7 +31,10 @@
     const startedAt = monotonicMs();
     const until = startedAt + 5_000;
     expect(
-      await awaitPacedTarget(servicesWithPace(undefined), () => QUERY, { until, gone }),
+      await awaitPacedTarget(servicesWithPace(undefined), () => QUERY, {
+        latestSendAt: until,
+        callerSignal: gone,
+      }),
     ).to.equal(undefined);
     expect(monotonicMs() - startedAt).to.be.below(100);
   });
@@ -40,7 +43,9 @@
     const startedAt = monotonicMs();
     const lateTurn = servicesWithPace({ nextInMs: 2_000, intervalMs: 1_000 });
     const until = startedAt + 1_000;
-    expect(await awaitPacedTarget(lateTurn, () => QUERY, { until, gone })).to.equal(undefined);
+    expect(
+      await awaitPacedTarget(lateTurn, () => QUERY, { latestSendAt: until, callerSignal: gone }),
+    ).to.equal(undefined);
     expect(monotonicMs() - startedAt).to.be.below(100);
   });
 
@@ -48,13 +53,13 @@
     const earlyTurn = servicesWithPace({ nextInMs: 50, intervalMs: 200 });
     const until = monotonicMs() + 400;
     const waits = Array.from({ length: 6 }, () =>
-      awaitPacedTarget(earlyTurn, () => QUERY, { until, gone }),
+      awaitPacedTarget(earlyTurn, () => QUERY, { latestSendAt: until, callerSignal: gone }),
     );
     const first = await Promise.race(waits.map(async wait => (await wait) ?? 'refused'));
     expect(first).to.equal('refused');
     const targets = await Promise.all(waits);
     expect(targets.filter(target => target !== undefined)).to.have.length(2);
-    expect(earlyTurn.pacedWaits.count(QUERY)).to.equal(0);
+    expect(earlyTurn.pacedQueues.count(QUERY)).to.equal(0);
   });
 
   it('is served in the order of arrival', async () => {
@@ -62,7 +67,7 @@
     const until = monotonicMs() + 1_000;
     const served: number[] = [];
     const waits = Array.from({ length: 6 }, async (_, index) => {
-      await awaitPacedTarget(earlyTurn, () => QUERY, { until, gone });
+      await awaitPacedTarget(earlyTurn, () => QUERY, { latestSendAt: until, callerSignal: gone });
       served.push(index);
     });
     await Promise.all(waits);
@@ -76,8 +81,8 @@
     const changingServices = { ...base, chooser } as unknown as RelayServices;
     const startedAt = monotonicMs();
     const wait = awaitPacedTarget(changingServices, () => QUERY, {
-      until: startedAt + 5_000,
-      gone,
+      latestSendAt: startedAt + 5_000,
+      callerSignal: gone,
     });
     setTimeout(() => {
       pace = undefined;
@@ -90,9 +95,12 @@
     const disconnection = new AbortController();
     const earlyTurn = servicesWithPace({ nextInMs: 60, intervalMs: 200 });
     const until = monotonicMs() + 5_000;
-    const wait = awaitPacedTarget(earlyTurn, () => QUERY, { until, gone: disconnection.signal });
+    const wait = awaitPacedTarget(earlyTurn, () => QUERY, {
+      latestSendAt: until,
+      callerSignal: disconnection.signal,
+    });
     disconnection.abort();
     expect(await wait).to.equal(undefined);
-    expect(earlyTurn.pacedWaits.count(QUERY)).to.equal(0);
+    expect(earlyTurn.pacedQueues.count(QUERY)).to.equal(0);
   });
 });
--- a/packages/entry/src/requests/paced-wait.ts
+++ b/packages/entry/src/requests/paced-wait.ts
@@ -11,9 +11,9 @@
 /** The conditions that end a wait. */
 export type PacedWait = {
   /** Latest time of a send with which the answer can still be in time, in monotonic milliseconds. */
-  readonly until: number;
+  readonly latestSendAt: number;
   /** Aborted when the caller has disconnected. */
-  readonly gone: AbortSignal;
+  readonly callerSignal: AbortSignal;
 };
 
 /** Interval in which a waiting request tries to claim a target, in milliseconds: well below the interval of sends. */
@@ -27,9 +27,9 @@
 export async function awaitPacedTarget(
   services: RelayServices,
   query: () => TargetQuery,
-  { until, gone: callerSignal }: PacedWait,
+  { latestSendAt: until, callerSignal: callerSignal }: PacedWait,
 ): Promise<Target | undefined> {
-  const { chooser, pacedWaits } = services;
+  const { chooser, pacedQueues: pacedWaits } = services;
   const initialQuery = query();
   const pace = chooser.paceOf(initialQuery);
   if (pace === undefined) {
@@ -46,7 +46,7 @@
       const leavesPaced = !queueEntry.isFirst();
       const target = callerSignal.aborted
         ? undefined
-        : claimTarget(services, { ...query(), leavesPaced });
+        : claimTarget(services, { ...query(), skipsLimitedHosts: leavesPaced });
       if (target !== undefined) {
         return target;
       }
--- a/packages/entry/src/requests/plain-relay.test.ts
+++ b/packages/entry/src/requests/plain-relay.test.ts
@@ -5,7 +5,7 @@
 
 import type { Target } from '../routing/target-chooser.js';
 import { monotonicMs, sleep } from '../server/time.js';
-import { relayServices, requestContext, UpstreamStandIn } from '../testing/relay.js';
+import { relayServices, requestContext, TestUpstreamHost } from '../testing/relay.js';
 import { PlainRelay } from './plain-relay.js';
 
 const HEAD = { 'x-request-id': 'r', 'x-stamp': 's' };
@@ -25,10 +25,10 @@
 }
 
 describe('a relayed plain request', () => {
-  const hosts: UpstreamStandIn[] = [];
+  const hosts: TestUpstreamHost[] = [];
 
   async function targets(handlers: AnswerHandler[]): Promise<Target[]> {
-    hosts.push(...handlers.map(handler => new UpstreamStandIn(handler)));
+    hosts.push(...handlers.map(handler => new TestUpstreamHost(handler)));
     return Promise.all(hosts.map((host, index) => host.listen(`h${index}`)));
   }
 
@@ -54,7 +54,7 @@
     });
     const { context } = requestContext('r', {}, caller.signal);
     await new PlainRelay(context, services).run();
-    expect(hosts[0]?.seen).to.deep.equal([]);
+    expect(hosts[0]?.receivedIds).to.deep.equal([]);
   });
 
   it('ends with the failure of the host that ran it, not with an own error answer', async () => {
@@ -122,7 +122,7 @@
     const startedAt = Date.now();
     await new PlainRelay(context, services).run();
     expect(answer).to.deep.equal({ status: 200, body: 'done' });
-    expect(hosts.map(host => host.seen.length)).to.deep.equal([0, 1]);
+    expect(hosts.map(host => host.receivedIds.length)).to.deep.equal([0, 1]);
     expect(Date.now() - startedAt).to.be.below(100);
   });
 });
--- a/packages/entry/src/requests/plain-relay.ts
+++ b/packages/entry/src/requests/plain-relay.ts
@@ -1,17 +1,19 @@
 /** Relays requests that have a single answer. The answer is read completely before any of it is passed on. */
 import type { IncomingMessage } from 'node:http';
 
-import { kindOf } from '../routing/host-activity.js';
+import { requestKind } from '../routing/host-activity.js';
 import type { Target, TargetQuery } from '../routing/target-chooser.js';
 import { afterTurn, monotonicMs } from '../server/time.js';
 import { AttemptLog } from './attempt-log.js';
 import type { NoTarget } from './await-target.js';
 import { awaitTarget, isTarget } from './await-target.js';
-import { connectionsFor } from './connection-choice.js';
+import { keptConnectionsFor } from './connection-choice.js';
 import type { ExchangeEnd, UnsentEnd } from './exchange.js';
-import { isBroken, isUnsent, startExchange } from './exchange.js';
+import { isConnectionLost, isUnsent, startExchange } from './exchange.js';
 import type { FinalAnswer } from './final-answer.js';
-import { giveFinalAnswer, quarantinedAnswer } from './final-answer.js';
+import { quarantinedAnswer, sendFinalAnswer } from './final-answer.js';
+import type { HostStateAtSend } from './host-state-at-send.js';
+import { hostStateAtSend } from './host-state-at-send.js';
 import { mayWriteTo } from './may-write.js';
 import { noticeListener } from './notice-listener.js';
 import { endToEndHeaders } from './relay-headers.js';
@@ -19,13 +21,11 @@
 import type { RequestContext } from './request-context.js';
 import { mayRepeat } from './request-context.js';
 import {
-  needsOperator,
+  lastsUntilOperatorActs,
   RETRY_AFTER_MS,
   RETRY_AFTER_NO_HOST_MS,
   retryAfterMs,
 } from './retry-after.js';
-import type { StandingAtSend } from './standing-at-send.js';
-import { standingAtSend } from './standing-at-send.js';
 import { upstreamHeaders } from './upstream-request.js';
 import type { NoTargetReason } from './wait-for-target.js';
 
@@ -64,7 +64,7 @@
   readonly target: Target;
   readonly end: AttemptEnd;
   readonly durationMs: number;
-  readonly stateAtSend: StandingAtSend;
+  readonly stateAtSend: HostStateAtSend;
 };
 
 /** Relays one request of a caller. */
@@ -88,7 +88,7 @@
       const query = (): TargetQuery => this.#query();
       const target = await awaitTarget(this.#services, this.#context, query);
       // If the caller disconnected while the request was waiting for a target, no host may receive it any more.
-      if (this.#context.gone.aborted) {
+      if (this.#context.callerSignal.aborted) {
         this.#releaseClaim(target);
         return;
       }
@@ -108,7 +108,7 @@
         this.#lastFailedAnswer = end.answer;
       }
       if (end.kind === 'lost' || end.kind === 'stale') {
-        await this.#services.quarantine.decided(this.#context);
+        await this.#services.quarantine.awaitVerdict(this.#context);
       }
       if (!this.#attemptLog.takeRetry()) {
         this.#giveUp(this.#context.isQuarantined() ? 'quarantined' : 'not-run');
@@ -125,8 +125,8 @@
   }
 
   #query(): TargetQuery {
-    const { service, homes } = this.#context;
-    const homeRegions = homes.inForce();
+    const { service, homeRegions: homes } = this.#context;
+    const homeRegions = homes.current();
     return { service, model: undefined, homeRegions, exclude: this.#attemptLog.tried };
   }
 
@@ -138,21 +138,21 @@
   }
 
   #attempt(target: Target): Promise<AttemptEnd> {
-    const { gone, deadline, request, body } = this.#context;
+    const { callerSignal: gone, deadline, request, body } = this.#context;
     const { activities, headers: headerNames } = this.#services;
     const sentAt = monotonicMs();
-    const stateAtSend = standingAtSend(this.#services, target.host, sentAt);
+    const stateAtSend = hostStateAtSend(this.#services, target.host, sentAt);
     const chunks: Buffer[] = [];
     let bytes = 0;
     let head: IncomingMessage | undefined;
     this.#attemptLog.noteSent(target.host);
-    activities.enter(target.host.id);
+    activities.noteRequestSent(target.host.id);
     return new Promise(resolve => {
       const settle = (end: AttemptEnd): void => {
         timeout.cancel();
         removeGuard();
         gone.removeEventListener('abort', cancel);
-        activities.leave(target.host.id, false);
+        activities.noteRequestEnded(target.host.id, false);
         this.#recordEnd({
           target,
           end,
@@ -168,26 +168,26 @@
           url: request.url ?? '/',
           headers: upstreamHeaders(this.#context, headerNames, target, undefined),
           body,
-          connections: connectionsFor(this.#services, this.#context),
-          connects: activities.connects,
+          connections: keptConnectionsFor(this.#services, this.#context),
+          connectTimes: activities.connectTimes,
           mayWrite: () => mayWriteTo(this.#services, this.#context, target.host),
-          unwritten: () => {
+          onNotWritten: () => {
             this.#services.eligibility.giveBack(target.host);
           },
           requestId: this.#context.id,
-          heard: noticeListener(this.#services.headers, this.#services),
+          onAnswerHead: noticeListener(this.#services.headers, this.#services),
         },
         {
-          head: answer => {
+          onHead: answer => {
             head = answer;
           },
-          data: chunk => {
+          onData: chunk => {
             bytes += chunk.length;
             if (bytes <= MAX_ANSWER_BYTES) {
               chunks.push(chunk);
             }
           },
-          ended: end => {
+          onEnd: end => {
             settle(this.#classifyEnd(end, head, Buffer.concat(chunks)));
           },
         },
@@ -196,7 +196,7 @@
         exchange.cancel();
       };
       gone.addEventListener('abort', cancel);
-      const removeGuard = this.#services.quarantine.guard(this.#context, cancel);
+      const removeGuard = this.#services.quarantine.cancelWhenQuarantined(this.#context, cancel);
       const timeout = afterTurn(cancel, this.#attemptTimeoutMs(deadline));
     });
   }
@@ -218,15 +218,15 @@
     if (isUnsent(end)) {
       return { kind: end };
     }
-    if (this.#context.gone.aborted) {
-      this.#attemptLog.noteMayRun();
+    if (this.#context.callerSignal.aborted) {
+      this.#attemptLog.noteMayHaveRun();
       return { kind: 'gone' };
     }
-    if (head !== undefined && saysNotRun(head, headerNames.notExecuted)) {
+    if (head !== undefined && reportsNotRun(head, headerNames.notExecuted)) {
       this.#attemptLog.noteRejected();
       return { kind: 'not-run' };
     }
-    this.#attemptLog.noteMayRun();
+    this.#attemptLog.noteMayHaveRun();
     if (end === 'stale') {
       return { kind: 'stale' };
     }
@@ -251,7 +251,7 @@
     counters.count('attempts_total', { kind: 'plain', end: end.kind });
     if (end.kind === 'answered') {
       quarantine.runCompleted(this.#context);
-    } else if (end.kind === 'stale' || (end.kind === 'lost' && isBroken(end.detail))) {
+    } else if (end.kind === 'stale' || (end.kind === 'lost' && isConnectionLost(end.detail))) {
       quarantine.runLost(this.#context, target.host, durationMs);
     }
     if (isUnsent(end.kind)) {
@@ -259,8 +259,8 @@
     }
     if (end.kind === 'answered' && (end.answer.head.statusCode ?? 0) < 500) {
       activities.noteProgress(target.host);
-      const kind = kindOf(this.#context.service.name, undefined);
-      activities.noteFirst(target.host.id, durationMs, kind);
+      const kind = requestKind(this.#context.service.name, undefined);
+      activities.noteFirstResponse(target.host.id, durationMs, kind);
     } else if (!['gone', 'withheld', 'crowded'].includes(end.kind)) {
       if (end.kind === 'never-sent') {
         activities.noteUnreachable(target.host);
@@ -317,7 +317,7 @@
       sentTo: this.#attemptLog.sentTo,
       heldMs: Math.round(monotonicMs() - arrivedAt),
     });
-    giveFinalAnswer(response, answer);
+    sendFinalAnswer(response, answer);
   }
 
   #finalAnswer(reason: GiveUpReason): FinalAnswer {
@@ -325,7 +325,7 @@
       return quarantinedAnswer(this.#attemptLog.mayHaveRun);
     }
     if (!this.#attemptLog.mayHaveRun) {
-      const defaultMs = needsOperator(reason) ? RETRY_AFTER_NO_HOST_MS : RETRY_AFTER_MS;
+      const defaultMs = lastsUntilOperatorActs(reason) ? RETRY_AFTER_NO_HOST_MS : RETRY_AFTER_MS;
       const waitMs = retryAfterMs(this.#services, this.#query(), defaultMs);
       return { status: 503, reason, retryAfterMs: waitMs };
     }
@@ -343,6 +343,6 @@
 }
 
 /** True if the answer states that the host has not run the request and will not run it. */
-export function saysNotRun(head: IncomingMessage, notExecuted: string): boolean {
+export function reportsNotRun(head: IncomingMessage, notExecuted: string): boolean {
   return head.headers[notExecuted] !== undefined || head.statusCode === MISDIRECTED_REQUEST;
 }
--- a/packages/entry/src/requests/quarantined-send.test.ts
+++ b/packages/entry/src/requests/quarantined-send.test.ts
@@ -4,7 +4,7 @@
 import { expect } from 'chai';
 
 import type { Target } from '../routing/target-chooser.js';
-import { relayServices, requestContext, UpstreamStandIn } from '../testing/relay.js';
+import { relayServices, requestContext, TestUpstreamHost } from '../testing/relay.js';
 import { PlainRelay } from './plain-relay.js';
 import type { RelayServices } from './relay-services.js';
 import type { RequestContext } from './request-context.js';
@@ -24,7 +24,7 @@
 }
 
 describe('a request in quarantine', () => {
-  const hosts: UpstreamStandIn[] = [];
+  const hosts: TestUpstreamHost[] = [];
   let isQuarantined: boolean;
   let quarantineRun: (() => void) | undefined;
 
@@ -43,13 +43,13 @@
     answer: (response: ServerResponse) => void,
     isTrialGranted = false,
   ): Promise<RelayServices> {
-    const host = new UpstreamStandIn(answer);
+    const host = new TestUpstreamHost(answer);
     hosts.push(host);
     const target: Target = await host.listen('h');
     const services = relayServices(() => target);
     Object.assign(services.quarantine, {
       claimTrial: () => Promise.resolve(isTrialGranted),
-      guard: (_context: RequestContext, onVerdict: () => void) => {
+      cancelWhenQuarantined: (_context: RequestContext, onVerdict: () => void) => {
         quarantineRun = onVerdict;
         return () => undefined;
       },
@@ -69,7 +69,7 @@
       const Relay = context.route.kind === 'stream' ? StreamRelay : PlainRelay;
       await new Relay(context, services).run();
       expect(answer).to.deep.equal({ status: 503, body: '{"reason":"quarantined"}' });
-      expect(hosts.at(-1)?.seen).to.deep.equal([]);
+      expect(hosts.at(-1)?.receivedIds).to.deep.equal([]);
     }
   });
 
@@ -78,7 +78,7 @@
     const { context, answer } = contextOf(STREAM);
     await new StreamRelay(context, services).run();
     expect(answer.status).to.equal(200);
-    expect(hosts[0]?.seen).to.deep.equal(['r']);
+    expect(hosts[0]?.receivedIds).to.deep.equal(['r']);
   });
 
   it('is not sent again after a trial that crashed its host', async () => {
@@ -88,7 +88,7 @@
     const { context, answer } = contextOf(STREAM);
     await new StreamRelay(context, services).run();
     expect(answer).to.deep.equal({ status: 502, body: '{"reason":"quarantined"}' });
-    expect(hosts[0]?.seen).to.deep.equal(['r']);
+    expect(hosts[0]?.receivedIds).to.deep.equal(['r']);
   });
 
   it('is cancelled if it is quarantined during a run, and not refused as not run', async () => {
@@ -103,7 +103,7 @@
       quarantineRun?.();
       await run;
       expect(answer).to.deep.equal({ status: 502, body: '{"reason":"quarantined"}' });
-      expect(hosts.at(-1)?.seen).to.deep.equal(['r']);
+      expect(hosts.at(-1)?.receivedIds).to.deep.equal(['r']);
     }
   });
 
@@ -115,7 +115,7 @@
     Object.assign(services.chooser, {
       choose: () => availableTargets[0],
       paceOf: () => ({ nextInMs: 10, intervalMs: 10 }),
-      outlook: () => ({ standings: ['cold-limit'], formingMs: undefined }),
+      availability: () => ({ statuses: ['cold-limit'], formingMs: undefined }),
     });
     const { context, answer } = contextOf(STREAM);
     const run = new StreamRelay(context, services).run();
@@ -124,6 +124,6 @@
     availableTargets.push(target as Target);
     await run;
     expect(answer).to.deep.equal({ status: 503, body: '{"reason":"quarantined"}' });
-    expect(hosts[0]?.seen).to.deep.equal([]);
+    expect(hosts[0]?.receivedIds).to.deep.equal([]);
   });
 });
--- a/packages/entry/src/requests/relay-services.ts
+++ b/packages/entry/src/requests/relay-services.ts
@@ -2,7 +2,7 @@
 import type { Service } from '../configuration/serving-configuration.js';
 import type { HostRegistry } from '../hosts/host-registry.js';
 import type { QuarantineGate } from '../quarantine/request-quarantine.js';
-import type { NamedLimits } from '../rate-limits/named-limits.js';
+import type { HostRateLimits } from '../rate-limits/host-rate-limits.js';
 import type { DemandMeter } from '../routing/demand-meter.js';
 import type { HostActivities } from '../routing/host-activity.js';
 import type { HostNotices } from '../routing/host-notices.js';
@@ -11,10 +11,10 @@
 import type { Target, TargetChooser } from '../routing/target-chooser.js';
 import type { Log } from '../server/log.js';
 import type { Counters, Latencies } from '../server/metrics.js';
-import type { PacedWaits } from './paced-waits.js';
+import type { StoreFreshness } from './host-state-at-send.js';
+import type { PacedQueues } from './paced-queues.js';
 import type { RelayHeaders } from './relay-headers.js';
 import type { StallMonitor } from './stall-monitor.js';
-import type { KnowledgeAtSend } from './standing-at-send.js';
 import type { UpstreamConnections } from './upstream-connections.js';
 
 /** Services that the relays of all requests share. */
@@ -26,25 +26,25 @@
   /** Backoffs and shutdowns that hosts have reported in their answers. */
   readonly notices: HostNotices;
   /** Rate limits that hosts have named in their answers. */
-  readonly namedLimits: NamedLimits;
+  readonly namedLimits: HostRateLimits;
   readonly stalls: StallMonitor;
   readonly demand: DemandMeter;
   readonly budgetOf: (service: string) => RetryBudget;
   readonly connectionsOf: (service: Service) => UpstreamConnections;
   /** Reports to the lease holder and the other entry hosts that a group is stalled or lost. */
-  readonly suspect: (target: Target, isUnreachable: boolean) => void;
+  readonly reportSuspectedTarget: (target: Target, isUnreachable: boolean) => void;
   /** True while entry hosts report that they can not connect to the target. */
   readonly isUnreachable: (target: Target) => boolean;
   /** Queues of requests that wait for their turn at rate-limited or cold hosts. */
-  readonly pacedWaits: PacedWaits;
+  readonly pacedQueues: PacedQueues;
   /** Detects which requests crash the hosts that run them, and grants trials of these. */
   readonly quarantine: QuarantineGate;
   /** Decides at the moment of each send whether the host may receive the request. */
   readonly eligibility: SendEligibility;
   /** True while the configuration is recent enough for keys to be accepted by it. */
-  readonly keysHold: () => boolean;
+  readonly areKeysValid: () => boolean;
   /** Version and ages of the known configuration and hosts; recorded at each send. */
-  readonly knowledge: () => KnowledgeAtSend;
+  readonly storeFreshness: () => StoreFreshness;
   readonly log: Log;
   readonly counters: Counters;
   readonly latencies: Latencies;
--- a/packages/entry/src/requests/request-context.ts
+++ b/packages/entry/src/requests/request-context.ts
@@ -3,7 +3,7 @@
 
 import type { Route, Service } from '../configuration/serving-configuration.js';
 import type { RequestFingerprint } from '../quarantine/request-fingerprint.js';
-import type { RequestHomes } from './home-regions.js';
+import type { RequestHomeRegions } from './home-regions.js';
 
 /** An admitted request of a caller, whose body has been read. */
 export type RequestContext = {
@@ -21,7 +21,7 @@
   /** Workspace of the caller's key; undefined on public routes. */
   readonly workspace: string | undefined;
   /** Home regions of its route and of its workspace; looked up again at each send. */
-  readonly homes: RequestHomes;
+  readonly homeRegions: RequestHomeRegions;
   /** Priority among all requests; 0 is the highest. */
   readonly priority: number;
   /** Model that the request names; undefined if it names none. */
@@ -33,7 +33,7 @@
   /** When the final answer is due, in monotonic milliseconds. */
   readonly deadline: number;
   /** Aborted when the caller's connection is closed. */
-  readonly gone: AbortSignal;
+  readonly callerSignal: AbortSignal;
 };
 
 /** True if requests of the route may run more than once. */
--- a/packages/entry/src/requests/request-intake.ts
+++ b/packages/entry/src/requests/request-intake.ts
@@ -9,8 +9,8 @@
 import { fingerprintOf } from '../quarantine/request-fingerprint.js';
 import { monotonicMs } from '../server/time.js';
 import type { AnswerReason, FinalAnswer } from './final-answer.js';
-import { giveFinalAnswer } from './final-answer.js';
-import { RequestHomes } from './home-regions.js';
+import { sendFinalAnswer } from './final-answer.js';
+import { RequestHomeRegions } from './home-regions.js';
 import { PlainRelay } from './plain-relay.js';
 import type { RelayServices } from './relay-services.js';
 import type { RequestContext } from './request-context.js';
@@ -37,7 +37,7 @@
   | 'response'
   | 'body'
   | 'arrivedAt'
-  | 'gone'
+  | 'callerSignal'
 >;
 
 /** Admits or refuses the requests of callers, and counts them. */
@@ -105,7 +105,14 @@
       this.#refuse(request, response, admitted);
       return;
     }
-    await this.#relay({ ...admitted, request, response, body, arrivedAt, gone: callerSignal });
+    await this.#relay({
+      ...admitted,
+      request,
+      response,
+      body,
+      arrivedAt,
+      callerSignal: callerSignal,
+    });
   }
 
   // An incomplete body must not be relayed, and the caller's connection is closed: no answer can reach it.
@@ -129,13 +136,13 @@
     const completeContext: RequestContext = {
       ...context,
       fingerprint,
-      isQuarantined: () => this.#services.quarantine.holds(fingerprint),
+      isQuarantined: () => this.#services.quarantine.isQuarantined(fingerprint),
       deadline: context.arrivedAt + limitMs,
     };
     this.#services.budgetOf(context.service.name).noteRequest();
     if (context.model !== undefined) {
       const tokens = header(context.request, this.#services.headers.tokenCounts);
-      this.#services.demand.note(context.service.name, context.model, tokens);
+      this.#services.demand.noteRequest(context.service.name, context.model, tokens);
     }
     const relay =
       context.route.kind === 'stream'
@@ -155,7 +162,7 @@
     const needsKey = table.keysRequired && !route.isPublic;
     const workspace = key === undefined ? undefined : table.workspaceOf(key);
     if (needsKey) {
-      if (!this.#services.keysHold()) {
+      if (!this.#services.areKeysValid()) {
         return unavailable('keys-lapsed');
       }
       if (workspace === undefined) {
@@ -172,7 +179,7 @@
       route,
       service,
       workspace: workspace?.name,
-      homes: new RequestHomes(() => this.#holder.table, lookup, { route, workspace }),
+      homeRegions: new RequestHomeRegions(() => this.#holder.table, lookup, { route, workspace }),
       priority: priorityOf(route, workspace?.priority),
       model: header(request, names.model),
       lastEventId: header(request, names.lastEventId),
@@ -196,7 +203,7 @@
       version: this.#holder.table?.version,
       confirmedMsAgo: Math.round(this.#holder.confirmationAgeMs),
     });
-    giveFinalAnswer(response, answer);
+    sendFinalAnswer(response, answer);
   }
 }
 
--- a/packages/entry/src/requests/retry-after.test.ts
+++ b/packages/entry/src/requests/retry-after.test.ts
@@ -18,8 +18,8 @@
 function retryAfterWith({ backoffMs, placeMs, intervalMs, waiting = 0 }: HostFacts): number {
   const pace = intervalMs === undefined ? undefined : { nextInMs: placeMs ?? 0, intervalMs };
   const services = {
-    chooser: { outlook: () => ({ backoffMs }), placeInMs: () => placeMs, paceOf: () => pace },
-    pacedWaits: { count: () => waiting },
+    chooser: { availability: () => ({ backoffMs }), placeInMs: () => placeMs, paceOf: () => pace },
+    pacedQueues: { count: () => waiting },
   } as unknown as RelayServices;
   return retryAfterMs(services, QUERY, USUAL_MS);
 }
--- a/packages/entry/src/requests/retry-after.ts
+++ b/packages/entry/src/requests/retry-after.ts
@@ -16,7 +16,7 @@
 export const RETRY_AFTER_NO_HOST_MS = 800;
 
 /** True for reasons that last until an operator changes an evacuation or the home regions. */
-export function needsOperator(reason: AnswerReason): boolean {
+export function lastsUntilOperatorActs(reason: AnswerReason): boolean {
   return reason === 'evacuated' || reason === 'outside-home-regions';
 }
 
@@ -25,12 +25,12 @@
  * computed for a later request, which may be sent to the hosts that this one was sent to.
  */
 export function retryAfterMs(
-  { chooser, pacedWaits }: Pick<RelayServices, 'chooser' | 'pacedWaits'>,
+  { chooser, pacedQueues: pacedWaits }: Pick<RelayServices, 'chooser' | 'pacedQueues'>,
   query: TargetQuery,
   usualMs: number,
 ): number {
   const laterQuery = { ...query, exclude: new Set<string>() };
-  const { backoffMs } = chooser.outlook(laterQuery);
+  const { backoffMs } = chooser.availability(laterQuery);
   const placeMs = chooser.placeInMs(laterQuery);
   if (backoffMs !== undefined || placeMs === undefined) {
     return backoffMs ?? usualMs;
--- a/packages/entry/src/requests/service-limits.ts
+++ b/packages/entry/src/requests/service-limits.ts
@@ -5,7 +5,7 @@
 import { RetryBudget } from '../routing/retry-budget.js';
 import type { Log } from '../server/log.js';
 import type { Counters } from '../server/metrics.js';
-import { USUAL_IDLE_MS } from './connection-reuse.js';
+import { DEFAULT_IDLE_MS } from './connection-reuse.js';
 import type { ConnectionObserver } from './upstream-connections.js';
 import { UpstreamConnections } from './upstream-connections.js';
 
@@ -14,7 +14,7 @@
   /** Bounds on the retries of all entry hosts together. */
   readonly retries: RetryBounds;
   /** Number of entry hosts; 0 while it is not known, undefined if entry hosts do not know their peers. */
-  readonly hosts: () => number | undefined;
+  readonly entryHosts: () => number | undefined;
   readonly log: Log;
   readonly counters: Counters;
 };
@@ -60,21 +60,21 @@
       this.#connections.set(service.name, connections);
     }
     const entryHosts = this.#entryHosts || ASSUMED_ENTRY_HOSTS;
-    connections.keepIdle((service.maxConnections * MAX_IDLE_FRACTION) / entryHosts);
+    connections.setMaxIdlePerHost((service.maxConnections * MAX_IDLE_FRACTION) / entryHosts);
     return connections;
   }
 
   get #entryHosts(): number {
-    return this.#options.hosts() ?? ENTRY_HOSTS_WITHOUT_PEERS;
+    return this.#options.entryHosts() ?? ENTRY_HOSTS_WITHOUT_PEERS;
   }
 
   #observerOf(service: string): ConnectionObserver {
     const { log, counters } = this.#options;
     return {
-      opened: cause => {
+      onOpened: cause => {
         counters.count('upstream_connections_total', { cause });
       },
-      announced: idleMs => {
+      onIdleTimeAnnounced: idleMs => {
         log.info('upstream host announced its idle timeout', { service, idleMs });
       },
     };
@@ -82,7 +82,7 @@
 
   /** Time for which idle connections to hosts of the service are kept, in milliseconds. */
   idleMs(service: string): number {
-    return this.#connections.get(service)?.idleMs ?? USUAL_IDLE_MS;
+    return this.#connections.get(service)?.idleMs ?? DEFAULT_IDLE_MS;
   }
 
   /** True if an idle connection to the host is open. */
--- a/packages/entry/src/requests/stall-limits.ts
+++ b/packages/entry/src/requests/stall-limits.ts
@@ -8,21 +8,21 @@
  */
 
 /** Known state of an attempt that delivers no events at present. */
-export type SilentRun = {
+export type SilentAttempt = {
   /** True once its first event has been received. */
-  readonly begun: boolean;
+  readonly hasBegun: boolean;
   /** True if it resumes a stream after an event of an earlier attempt; the caller has waited since that event. */
-  readonly resumed: boolean;
+  readonly isResumed: boolean;
   /** True while other streams at the host progress: the host is busy, not lost. */
   readonly hostServesOthers: boolean;
   /** True if the host is unreachable, its entry was removed, or its replica group lacks a member. */
-  readonly isGone: boolean;
+  readonly isLost: boolean;
   /** Objective of the route for the time to the first event, in milliseconds. */
   readonly objectiveMs: number;
   /** Target of the route for the time between two events, in milliseconds. */
   readonly gapTargetMs: number;
   /** Usual time to the first event for this model, in milliseconds; undefined while it is not known. */
-  readonly typicalFirstMs: number | undefined;
+  readonly typicalFirstEventMs: number | undefined;
 };
 
 /** Limits on the silence of an attempt, in milliseconds. */
@@ -75,17 +75,22 @@
 const RESUMED_OBJECTIVE_GAPS = 2;
 
 /** Limits for an attempt in its present state. */
-export function stallLimits(attempt: SilentRun): StallLimits {
-  const limits = attempt.begun ? gapLimits(attempt) : firstEventLimits(attempt);
-  if (!attempt.isGone) {
+export function stallLimits(attempt: SilentAttempt): StallLimits {
+  const limits = attempt.hasBegun ? gapLimits(attempt) : firstEventLimits(attempt);
+  if (!attempt.isLost) {
     return limits;
   }
-  const lostHostMs = (attempt.begun ? attempt.gapTargetMs : attempt.objectiveMs) * LOST_HOST_FACTOR;
+  const lostHostMs =
+    (attempt.hasBegun ? attempt.gapTargetMs : attempt.objectiveMs) * LOST_HOST_FACTOR;
   const secondAttemptMs = Math.min(limits.secondAttemptMs, lostHostMs);
   return { ...limits, secondAttemptMs, lostMs: secondAttemptMs };
 }
 
-function gapLimits({ gapTargetMs, hostServesOthers, typicalFirstMs }: SilentRun): StallLimits {
+function gapLimits({
+  gapTargetMs,
+  hostServesOthers,
+  typicalFirstEventMs: typicalFirstMs,
+}: SilentAttempt): StallLimits {
   if (hostServesOthers) {
     const busyMs = gapTargetMs * GAP_BUSY_HOST_FACTOR;
     return { reportMs: busyMs, secondAttemptMs: busyMs, lostMs: Infinity };
@@ -100,8 +105,13 @@
   };
 }
 
-function firstEventLimits(attempt: SilentRun): StallLimits {
-  const { objectiveMs, gapTargetMs, typicalFirstMs, resumed } = attempt;
+function firstEventLimits(attempt: SilentAttempt): StallLimits {
+  const {
+    objectiveMs,
+    gapTargetMs,
+    typicalFirstEventMs: typicalFirstMs,
+    isResumed: resumed,
+  } = attempt;
   const effectiveObjectiveMs = resumed ? gapTargetMs * RESUMED_OBJECTIVE_GAPS : objectiveMs;
   const latestReportMs = effectiveObjectiveMs * FIRST_EVENT_REPORT_FACTOR;
   const lateSecondAttemptMs = effectiveObjectiveMs * FIRST_EVENT_LATE_SECOND_ATTEMPT_FACTOR;
--- a/packages/entry/src/requests/stall-monitor.test.ts
+++ b/packages/entry/src/requests/stall-monitor.test.ts
@@ -18,7 +18,7 @@
     this.#limitMs = limitMs;
   }
 
-  look(now: number): number {
+  checkForStall(now: number): number {
     this.checkTimes.push(now);
     const left = this.lastProgressAt + this.#limitMs - now;
     if (left <= 0) {
--- a/packages/entry/src/requests/stall-monitor.ts
+++ b/packages/entry/src/requests/stall-monitor.ts
@@ -2,12 +2,12 @@
 import { monotonicMs } from '../server/time.js';
 
 /** An attempt that the monitor checks for stalls. */
-export type Stallable = {
+export type MonitoredAttempt = {
   /**
    * Checks whether the attempt has stalled, by its own criteria; `now` in monotonic milliseconds. Returns the time in
    * milliseconds after which the next check can find a stall.
    */
-  readonly look: (now: number) => number;
+  readonly checkForStall: (now: number) => number;
 };
 
 /** Shortest time between two checks, in milliseconds: a stall may be noticed this much late. */
@@ -20,19 +20,19 @@
  * causes 7 wake-ups a second. A fixed period of 25 ms caused 40, a third of all wake-ups of the process.
  */
 export class StallMonitor {
-  readonly #attempts = new Set<Stallable>();
+  readonly #attempts = new Set<MonitoredAttempt>();
   #checkTimer: NodeJS.Timeout | undefined;
   #dueAt = Infinity;
 
   /** Checks an attempt, now and until it is removed. */
-  add(attempt: Stallable): void {
+  add(attempt: MonitoredAttempt): void {
     this.#attempts.add(attempt);
     const now = monotonicMs();
-    this.#schedule(now, attempt.look(now));
+    this.#schedule(now, attempt.checkForStall(now));
   }
 
   /** Checks all attempts in this turn of the event loop, after a report that shortens their limits. */
-  lookSoon(): void {
+  checkSoon(): void {
     setImmediate(() => {
       if (this.#attempts.size > 0) {
         this.#checkAll();
@@ -41,7 +41,7 @@
   }
 
   /** Ends the checks of an attempt that is over. */
-  remove(attempt: Stallable): void {
+  remove(attempt: MonitoredAttempt): void {
     this.#attempts.delete(attempt);
     if (this.#attempts.size === 0) {
       this.#cancelTimer();
@@ -53,7 +53,7 @@
     const now = monotonicMs();
     let nextMs = Infinity;
     for (const attempt of [...this.#attempts]) {
-      nextMs = Math.min(nextMs, attempt.look(now));
+      nextMs = Math.min(nextMs, attempt.checkForStall(now));
     }
     if (this.#attempts.size > 0) {
       this.#schedule(now, nextMs);
--- a/packages/entry/src/requests/stream-attempt.ts
+++ b/packages/entry/src/requests/stream-attempt.ts
@@ -1,21 +1,21 @@
 /** One attempt of a stream request: sends it to one host and reads the answer. */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 
-import { kindOf } from '../routing/host-activity.js';
+import { requestKind } from '../routing/host-activity.js';
 import type { Target } from '../routing/target-chooser.js';
 import { monotonicMs } from '../server/time.js';
-import { connectionsFor } from './connection-choice.js';
+import { keptConnectionsFor } from './connection-choice.js';
 import type { Exchange, ExchangeEnd, UnsentEnd } from './exchange.js';
-import { isBroken, isUnsent, startExchange } from './exchange.js';
+import { isConnectionLost, isUnsent, startExchange } from './exchange.js';
+import type { HostStateAtSend } from './host-state-at-send.js';
+import { hostStateAtSend } from './host-state-at-send.js';
 import { mayWriteTo } from './may-write.js';
 import { noticeListener } from './notice-listener.js';
-import { isFramed, saysNotRun } from './plain-relay.js';
+import { isFramed, reportsNotRun } from './plain-relay.js';
 import type { RelayServices } from './relay-services.js';
 import type { RequestContext } from './request-context.js';
 import type { StallLimits } from './stall-limits.js';
 import { stallLimits } from './stall-limits.js';
-import type { StandingAtSend } from './standing-at-send.js';
-import { standingAtSend } from './standing-at-send.js';
 import { upstreamHeaders } from './upstream-request.js';
 
 /** How an attempt ended. */
@@ -39,12 +39,12 @@
   /** Id of the event after which the host is to resume the stream; undefined: from the start. */
   readonly lastEventId: string | undefined;
   /** Called with the bytes of a valid answer with status 200. */
-  readonly events: (chunk: Buffer) => void;
+  readonly onEvents: (chunk: Buffer) => void;
   /**
    * Called at each check while the attempt is stalled. `isLost` is true once it has been silent for so long that it
    * counts as lost and may be replaced by another attempt.
    */
-  readonly stalled: (isLost: boolean) => void;
+  readonly onStalled: (isLost: boolean) => void;
 };
 
 /** Times without progress of an attempt and of all streams of its host, and the limit exceeded, in milliseconds. */
@@ -66,7 +66,7 @@
   readonly #startedAt = monotonicMs();
   readonly #errorBodyChunks: Buffer[] = [];
   #exchange: Exchange | undefined;
-  #stateAtSend: StandingAtSend | undefined;
+  #stateAtSend: HostStateAtSend | undefined;
   #head: IncomingMessage | undefined;
   #invalidReason: string | undefined;
   #isSuperseded = false;
@@ -99,8 +99,8 @@
     const { request, body } = this.#context;
     const { host } = this.#target;
     const hostId = host.id;
-    this.#stateAtSend = standingAtSend(this.#services, this.#target.host, monotonicMs());
-    activities.enter(hostId);
+    this.#stateAtSend = hostStateAtSend(this.#services, this.#target.host, monotonicMs());
+    activities.noteRequestSent(hostId);
     stalls.add(this);
     return new Promise(resolve => {
       this.#exchange = startExchange(
@@ -115,25 +115,25 @@
             this.#options.lastEventId,
           ),
           body,
-          connections: connectionsFor(this.#services, this.#context),
-          connects: activities.connects,
+          connections: keptConnectionsFor(this.#services, this.#context),
+          connectTimes: activities.connectTimes,
           mayWrite: () => mayWriteTo(this.#services, this.#context, host),
-          unwritten: () => {
+          onNotWritten: () => {
             this.#services.eligibility.giveBack(host);
           },
           requestId: this.#context.id,
-          heard: noticeListener(this.#services.headers, this.#services),
+          onAnswerHead: noticeListener(this.#services.headers, this.#services),
         },
         {
-          head: answer => {
+          onHead: answer => {
             this.#receiveHead(answer);
           },
-          data: chunk => {
+          onData: chunk => {
             this.#receiveData(chunk);
           },
-          ended: exchangeEnd => {
+          onEnd: exchangeEnd => {
             stalls.remove(this);
-            activities.leave(hostId, this.#hasBegun);
+            activities.noteRequestEnded(hostId, this.#hasBegun);
             const end = this.#classifyEnd(exchangeEnd);
             this.#recordEnd(end);
             resolve(end);
@@ -172,7 +172,7 @@
    * Checks whether the attempt has stalled; called by the stall monitor. Returns the time in milliseconds after which
    * the next check can find a stall.
    */
-  look(now: number): number {
+  checkForStall(now: number): number {
     const silenceMs = now - this.#lastProgressAt;
     const { activities } = this.#services;
     const { lastProgressAt } = activities.of(this.#target.host.id);
@@ -191,7 +191,7 @@
       });
     }
     if (silenceMs >= limits.secondAttemptMs) {
-      this.#options.stalled(silenceMs >= limits.lostMs);
+      this.#options.onStalled(silenceMs >= limits.lostMs);
     }
     const nextMs = Math.max(limits.reportMs, limits.secondAttemptMs) - silenceMs;
     return Math.max(0, nextMs);
@@ -219,20 +219,20 @@
 
   // Reports to the other entry hosts and to the lease holder that the replica group may be lost or slow.
   #reportSuspectTarget(isUnreachable: boolean): void {
-    this.#services.suspect(this.#target, isUnreachable);
+    this.#services.reportSuspectedTarget(this.#target, isUnreachable);
   }
 
   #limits(hostServesOthers: boolean): StallLimits {
     const { route, service, model } = this.#context;
     const { activities, chooser, isUnreachable } = this.#services;
     return stallLimits({
-      begun: this.#hasBegun,
-      resumed: this.#options.lastEventId !== this.#context.lastEventId,
+      hasBegun: this.#hasBegun,
+      isResumed: this.#options.lastEventId !== this.#context.lastEventId,
       hostServesOthers,
-      isGone: isUnreachable(this.#target) || chooser.isLost(this.#target),
+      isLost: isUnreachable(this.#target) || chooser.isLost(this.#target),
       objectiveMs: route.objectiveMs,
       gapTargetMs: route.gapTargetMs,
-      typicalFirstMs: activities.typicalFirstMs(kindOf(service.name, model)),
+      typicalFirstEventMs: activities.typicalFirstMs(requestKind(service.name, model)),
     });
   }
 
@@ -246,7 +246,7 @@
       this.#invalidReason = 'answer has a content encoding';
     }
     this.#head = answer;
-    const isNotRun = saysNotRun(answer, headerNames.notExecuted);
+    const isNotRun = reportsNotRun(answer, headerNames.notExecuted);
     if (this.#invalidReason !== undefined && !isNotRun) {
       this.#exchange?.cancel();
     }
@@ -267,11 +267,11 @@
     activities.noteProgress(this.#target.host);
     if (!this.#hasBegun) {
       this.#hasBegun = true;
-      activities.begin(hostId);
+      activities.noteResponseBegun(hostId);
       const { service, model } = this.#context;
-      activities.noteFirst(hostId, now - this.#startedAt, kindOf(service.name, model));
+      activities.noteFirstResponse(hostId, now - this.#startedAt, requestKind(service.name, model));
     }
-    this.#options.events(chunk);
+    this.#options.onEvents(chunk);
   }
 
   #classifyEnd(exchangeEnd: ExchangeEnd): StreamAttemptEnd {
@@ -281,7 +281,7 @@
     }
     if (
       head !== undefined &&
-      saysNotRun(head, this.#services.headers.notExecuted) &&
+      reportsNotRun(head, this.#services.headers.notExecuted) &&
       !this.#hasBegun
     ) {
       return { kind: 'not-run' };
@@ -310,7 +310,7 @@
     const { quarantine } = this.#services;
     if (end.kind === 'complete' || end.kind === 'failed') {
       quarantine.runCompleted(this.#context);
-    } else if (end.kind === 'stale' || (end.kind === 'lost' && isBroken(end.detail))) {
+    } else if (end.kind === 'stale' || (end.kind === 'lost' && isConnectionLost(end.detail))) {
       quarantine.runLost(this.#context, this.#target.host, monotonicMs() - this.#startedAt);
     }
   }
@@ -320,7 +320,7 @@
     counters.count('attempts_total', { kind: 'stream', end: end.kind });
     this.#reportToQuarantine(end);
     const isInconclusive = ['complete', 'withheld', 'crowded'].includes(end.kind);
-    if (isInconclusive || this.#context.gone.aborted) {
+    if (isInconclusive || this.#context.callerSignal.aborted) {
       return;
     }
     // The failure of a stalled attempt was already recorded when the stall was detected.
--- a/packages/entry/src/requests/stream-relay.test.ts
+++ b/packages/entry/src/requests/stream-relay.test.ts
@@ -6,7 +6,7 @@
 import { RetryBudget } from '../routing/retry-budget.js';
 import type { Target } from '../routing/target-chooser.js';
 import { monotonicMs } from '../server/time.js';
-import { relayServices, requestContext, UpstreamStandIn } from '../testing/relay.js';
+import { relayServices, requestContext, TestUpstreamHost } from '../testing/relay.js';
 import { StreamRelay } from './stream-relay.js';
 
 const HEAD = { 'x-request-id': 'r', 'x-stamp': 's' };
@@ -18,10 +18,10 @@
 }
 
 describe('a relayed stream', () => {
-  const hosts: UpstreamStandIn[] = [];
+  const hosts: TestUpstreamHost[] = [];
 
   async function targets(...handlers: ((response: ServerResponse) => void)[]): Promise<Target[]> {
-    hosts.push(...handlers.map(handler => new UpstreamStandIn(handler)));
+    hosts.push(...handlers.map(handler => new TestUpstreamHost(handler)));
     return Promise.all(hosts.map((host, index) => host.listen(`h${index}`)));
   }
 
@@ -46,7 +46,7 @@
       },
     );
     const services = relayServices(() => queue.shift());
-    Object.assign(services.chooser, { hasSound: () => true });
+    Object.assign(services.chooser, { hasHealthyTarget: () => true });
     const { context, answer } = requestContext('r', { ...STREAM, maxAttempts: 2 });
     await new StreamRelay(context, services).run();
     expect(answer.body).to.equal(events(1, 4));
@@ -62,7 +62,7 @@
       },
     );
     const services = relayServices(() => queue.shift());
-    Object.assign(services.chooser, { hasSound: () => true, isLost: () => true });
+    Object.assign(services.chooser, { hasHealthyTarget: () => true, isLost: () => true });
     const objectiveMs = 800;
     const { context, answer } = requestContext('r', { ...STREAM, maxAttempts: 2, objectiveMs });
     const startedAt = Date.now();
@@ -125,7 +125,7 @@
     const services = relayServices(() => (isOpen() ? queue.shift() : undefined));
     await new StreamRelay(context, services).run();
     expect(monotonicMs()).to.be.below(context.deadline + 100);
-    expect(hosts[1]?.seen).to.deep.equal([]);
+    expect(hosts[1]?.receivedIds).to.deep.equal([]);
   });
 
   it('that no host ran is refused at once if the retry budget is exhausted', async () => {
--- a/packages/entry/src/requests/stream-relay.ts
+++ b/packages/entry/src/requests/stream-relay.ts
@@ -4,18 +4,18 @@
  */
 import type { IncomingMessage } from 'node:http';
 
-import { isRefused } from '../routing/overload-guard.js';
-import type { RepeatReason } from '../routing/retry-budget.js';
+import { shouldRefuse } from '../routing/overload-guard.js';
+import type { RetryReason } from '../routing/retry-budget.js';
 import type { Target, TargetQuery } from '../routing/target-chooser.js';
 import { afterTurn, monotonicMs, sleep } from '../server/time.js';
 import { AttemptLog } from './attempt-log.js';
 import type { NoTarget } from './await-target.js';
 import { awaitTarget, isTarget } from './await-target.js';
 import { claimTarget } from './claim-target.js';
-import { EventForwarder } from './event-forwarder.js';
+import { EventSplitter } from './event-splitter.js';
 import { isUnsent } from './exchange.js';
 import type { FinalAnswer } from './final-answer.js';
-import { giveFinalAnswer, quarantinedAnswer } from './final-answer.js';
+import { quarantinedAnswer, sendFinalAnswer } from './final-answer.js';
 import { endToEndHeaders } from './relay-headers.js';
 import type { RelayServices } from './relay-services.js';
 import type { RequestContext } from './request-context.js';
@@ -40,7 +40,7 @@
   readonly #context: RequestContext;
   readonly #services: RelayServices;
   readonly #attemptLog: AttemptLog;
-  readonly #eventSplitter: EventForwarder;
+  readonly #eventSplitter: EventSplitter;
   readonly #running = new Set<StreamAttempt>();
   /** The attempt whose events are passed on. */
   #leader: StreamAttempt | undefined;
@@ -57,12 +57,12 @@
     this.#services = services;
     const budget = services.budgetOf(context.service.name);
     this.#attemptLog = new AttemptLog(context, budget);
-    this.#eventSplitter = new EventForwarder(context.lastEventId);
+    this.#eventSplitter = new EventSplitter(context.lastEventId);
   }
 
   /** Relays the stream to its end, with as many attempts as the route and the retry budget allow. */
   async run(): Promise<void> {
-    const { gone, deadline } = this.#context;
+    const { callerSignal: gone, deadline } = this.#context;
     if (this.#isRefused()) {
       this.#giveUp('overloaded');
       return;
@@ -73,7 +73,7 @@
       });
     };
     gone.addEventListener('abort', cancel);
-    const removeGuard = this.#services.quarantine.guard(this.#context, cancel);
+    const removeGuard = this.#services.quarantine.cancelWhenQuarantined(this.#context, cancel);
     const timeout = afterTurn(cancel, Math.max(1, deadline - DEADLINE_MARGIN_MS - monotonicMs()));
     try {
       await this.#runAttempts();
@@ -86,11 +86,11 @@
 
   #isRefused(): boolean {
     const { objectiveMs } = this.#context.route;
-    return isRefused(this.#services.chooser, this.#query(), objectiveMs, Math.random());
+    return shouldRefuse(this.#services.chooser, this.#query(), objectiveMs, Math.random());
   }
 
   async #runAttempts(): Promise<void> {
-    const { gone } = this.#context;
+    const { callerSignal: gone } = this.#context;
     for (;;) {
       const query = (): TargetQuery => this.#query();
       const target = await awaitTarget(this.#services, this.#context, query);
@@ -108,7 +108,7 @@
         return;
       }
       if (end.kind === 'lost' || end.kind === 'stale') {
-        await this.#services.quarantine.decided(this.#context);
+        await this.#services.quarantine.awaitVerdict(this.#context);
       }
       const mayRetry = await this.#awaitRetry();
       if (gone.aborted) {
@@ -125,7 +125,7 @@
   // Returns whether another attempt may start. A stream that has begun waits for the retry budget: if it failed, the
   // caller would lose the events received so far.
   async #awaitRetry(): Promise<boolean> {
-    const { gone, response } = this.#context;
+    const { callerSignal: gone, response } = this.#context;
     while (!this.#attemptLog.takeRetry()) {
       if (!response.headersSent || !this.#attemptLog.canRetry()) {
         return false;
@@ -143,15 +143,15 @@
   }
 
   #query(): TargetQuery {
-    const { service, model, homes } = this.#context;
-    return { service, model, homeRegions: homes.inForce(), exclude: this.#attemptLog.tried };
+    const { service, model, homeRegions: homes } = this.#context;
+    return { service, model, homeRegions: homes.current(), exclude: this.#attemptLog.tried };
   }
 
   // Resolves when an attempt completes the stream, or when none is running any more. While an attempt is stalled, a
   // hedged one may run beside it. The one that delivers the next complete event first is continued, so an attempt that
   // was wrongly taken for stalled does not end the answer.
   #send(target: Target): Promise<StreamAttemptEnd> {
-    this.#eventSplitter.restart();
+    this.#eventSplitter.dropIncompleteEvent();
     return new Promise(resolve => {
       this.#resolveSend = resolve;
       this.#leader = this.#startAttempt(target);
@@ -162,10 +162,10 @@
     this.#attemptLog.noteSent(target.host);
     const attempt: StreamAttempt = new StreamAttempt(this.#context, this.#services, target, {
       lastEventId: this.#eventSplitter.lastEventId,
-      events: chunk => {
+      onEvents: chunk => {
         this.#receiveBytes(attempt, chunk);
       },
-      stalled: isLost => {
+      onStalled: isLost => {
         this.#startSecondAttempt(attempt, isLost ? 'lost' : 'beside');
       },
     });
@@ -176,11 +176,11 @@
     return attempt;
   }
 
-  #startSecondAttempt(stalled: StreamAttempt, reason: RepeatReason): void {
+  #startSecondAttempt(stalled: StreamAttempt, reason: RetryReason): void {
     const query = this.#query();
     const { chooser, counters } = this.#services;
     const isAllowed = stalled === this.#leader && this.#running.size === 1;
-    if (!isAllowed || !this.#attemptLog.couldMove(reason) || !chooser.hasSound(query)) {
+    if (!isAllowed || !this.#attemptLog.canHedge(reason) || !chooser.hasHealthyTarget(query)) {
       return;
     }
     const target = claimTarget(this.#services, query);
@@ -217,7 +217,7 @@
 
   #makeLeader(attempt: StreamAttempt): void {
     this.#leader = attempt;
-    this.#eventSplitter.restart();
+    this.#eventSplitter.dropIncompleteEvent();
     const bytes = this.#heldBackOf(attempt);
     this.#heldBack.delete(attempt);
     if (bytes.length > 0) {
@@ -268,7 +268,7 @@
     } else if (end.kind === 'not-run') {
       this.#attemptLog.noteRejected();
     } else {
-      this.#attemptLog.noteMayRun();
+      this.#attemptLog.noteMayHaveRun();
     }
     if (end.kind === 'failed') {
       this.#failedHead = end.head;
@@ -278,7 +278,7 @@
 
   // Sends the complete events to the caller; returns false if there were none.
   #forward(chunk: Buffer): boolean {
-    const events = this.#eventSplitter.feed(chunk);
+    const events = this.#eventSplitter.append(chunk);
     if (events === undefined) {
       return false;
     }
@@ -340,7 +340,7 @@
       response.end(body);
       return;
     }
-    giveFinalAnswer(response, answer);
+    sendFinalAnswer(response, answer);
   }
 
   #finalAnswer(reason: GiveUpReason): FinalAnswer {
@@ -349,7 +349,7 @@
     }
     if (!this.#attemptLog.mayHaveRun) {
       const anyHost = { ...this.#query(), exclude: new Set<string>() };
-      const hasSoundTarget = this.#services.chooser.hasSound(anyHost);
+      const hasSoundTarget = this.#services.chooser.hasHealthyTarget(anyHost);
       const defaultMs = hasSoundTarget ? RETRY_AFTER_MS : RETRY_AFTER_NO_HOST_MS;
       const waitMs = retryAfterMs(this.#services, anyHost, defaultMs);
       return { status: 503, reason, retryAfterMs: waitMs };
--- a/packages/entry/src/requests/upstream-connections.test.ts
+++ b/packages/entry/src/requests/upstream-connections.test.ts
@@ -6,7 +6,7 @@
 import { expect } from 'chai';
 
 import { monotonicMs, sleep } from '../server/time.js';
-import { UpstreamStandIn } from '../testing/relay.js';
+import { TestUpstreamHost } from '../testing/relay.js';
 import { UpstreamConnections } from './upstream-connections.js';
 
 /** A pool of connections to one upstream host, and what was observed of it. */
@@ -29,13 +29,13 @@
     sockets.add(request.socket);
     setTimeout(() => response.writeHead(200, headers).end('ok'), workMs);
   };
-  const standIn = new UpstreamStandIn(answer);
+  const standIn = new TestUpstreamHost(answer);
   const { host } = await standIn.listen('h');
   const causes: string[] = [];
   const announced: number[] = [];
   const connections = new UpstreamConnections(10, {
-    opened: cause => causes.push(cause),
-    announced: idleMs => announced.push(idleMs),
+    onOpened: cause => causes.push(cause),
+    onIdleTimeAnnounced: idleMs => announced.push(idleMs),
   });
   const call = (): Promise<void> =>
     new Promise((resolve, reject) => {
@@ -111,7 +111,7 @@
 
   it('are kept idle up to the limit that was set', async () => {
     upstream = await upstreamOf({ connection: 'keep-alive', 'keep-alive': 'timeout=10' }, 30);
-    upstream.connections.keepIdle(2.5);
+    upstream.connections.setMaxIdlePerHost(2.5);
     await Promise.all(Array.from({ length: 4 }, () => upstream.call()));
     await sleep(RETURN_TO_POOL_MS);
     await Promise.all(Array.from({ length: 4 }, () => upstream.call()));
--- a/packages/entry/src/requests/upstream-connections.ts
+++ b/packages/entry/src/requests/upstream-connections.ts
@@ -9,7 +9,7 @@
 import type { Socket, TcpNetConnectOpts } from 'node:net';
 import type { Duplex } from 'node:stream';
 
-import { announcedIdleMs, keptIdleMs, USUAL_IDLE_MS } from './connection-reuse.js';
+import { announcedIdleMs, DEFAULT_IDLE_MS, keptIdleMs } from './connection-reuse.js';
 
 /** Why no kept connection could be used, so that a new one was opened. */
 export type ConnectionCause =
@@ -30,9 +30,9 @@
 /** Callbacks for events of the connections. */
 export type ConnectionObserver = {
   /** Called when a connection is opened. */
-  readonly opened: (cause: ConnectionCause) => void;
+  readonly onOpened: (cause: ConnectionCause) => void;
   /** Called when a host announces an idle time other than the last one announced, in milliseconds. */
-  readonly announced: (idleMs: number) => void;
+  readonly onIdleTimeAnnounced: (idleMs: number) => void;
 };
 
 /** Most idle connections that are kept per host. */
@@ -60,7 +60,7 @@
       keepAlive: true,
       maxFreeSockets: MAX_IDLE_PER_HOST,
       maxSockets: maxPerHost,
-      timeout: USUAL_IDLE_MS,
+      timeout: DEFAULT_IDLE_MS,
       scheduling: 'lifo',
     });
     this.#observer = observer;
@@ -72,7 +72,7 @@
   }
 
   /** Sets how many idle connections are kept per host: at least one and at most `MAX_IDLE_PER_HOST`. */
-  keepIdle(mostPerHost: number): void {
+  setMaxIdlePerHost(mostPerHost: number): void {
     this.maxFreeSockets = Math.max(1, Math.min(MAX_IDLE_PER_HOST, Math.floor(mostPerHost)));
   }
 
@@ -96,7 +96,7 @@
   ): Duplex | null | undefined {
     const agentKey = this.getName(options as { host: string; port: number });
     const isBusy = (this.sockets[agentKey]?.length ?? 0) > 0;
-    this.#observer?.opened(isBusy ? 'busy' : (this.#lastCloseCauses.get(agentKey) ?? 'first'));
+    this.#observer?.onOpened(isBusy ? 'busy' : (this.#lastCloseCauses.get(agentKey) ?? 'first'));
     if (this.#lastCloseCauses.size >= MAX_REMEMBERED_HOSTS) {
       this.#lastCloseCauses.clear();
     }
@@ -137,7 +137,7 @@
   #noteAnnounced(announcedMs: number | undefined): void {
     if (announcedMs !== undefined && announcedMs !== this.#announcedMs) {
       this.#announcedMs = announcedMs;
-      this.#observer?.announced(announcedMs);
+      this.#observer?.onIdleTimeAnnounced(announcedMs);
     }
   }
 
--- a/packages/entry/src/requests/wait-for-target.ts
+++ b/packages/entry/src/requests/wait-for-target.ts
@@ -9,8 +9,8 @@
  */
 import type { Eligibility } from '../routing/eligibility.js';
 import { isPaced } from '../routing/eligibility.js';
-import type { TargetOutlook } from '../routing/target-outlook.js';
-import type { TargetStanding } from '../routing/target-standings.js';
+import type { TargetAvailability } from '../routing/target-availability.js';
+import type { TargetStatus } from '../routing/target-status.js';
 
 /** Why a request has no target, as given in its refusal. */
 export type NoTargetReason =
@@ -20,9 +20,9 @@
   | 'quarantined';
 
 /** The state of a request that has no target. */
-export type Waiter = {
+export type WaitingRequest = {
   /** For how long it has had no target, in milliseconds. */
-  readonly lackingMs: number;
+  readonly waitedMs: number;
   /** For how long the outlook's `formingMs` has been the same, in milliseconds. */
   readonly formingForMs: number;
   /** Time until its final answer is due, in milliseconds. */
@@ -32,7 +32,7 @@
 };
 
 /** Least time left with which a request is still sent, in milliseconds; the same as for a retry. */
-export const LEAST_RUN_MS = 60;
+export const MIN_RUN_MS = 60;
 /**
  * Time in which hosts that have the model loaded form a new group, in milliseconds. A stream that was sent to all
  * existing heads waits for this long; after that its caller may resume it by itself.
@@ -53,13 +53,13 @@
 const MAX_BACKOFF_FRACTION = 0.5;
 
 /** True if the request keeps waiting. */
-export function waitsForTarget(outlook: TargetOutlook, waiter: Waiter): boolean {
-  const { lackingMs, formingForMs, leftMs, begun } = waiter;
-  const runnableMs = leftMs - LEAST_RUN_MS;
+export function shouldWaitForTarget(outlook: TargetAvailability, waiter: WaitingRequest): boolean {
+  const { waitedMs: lackingMs, formingForMs, leftMs, begun } = waiter;
+  const runnableMs = leftMs - MIN_RUN_MS;
   if (runnableMs <= 0) {
     return false;
   }
-  const { standings, formingMs, backoffMs } = outlook;
+  const { statuses: standings, formingMs, backoffMs } = outlook;
   const allTried = standings.length > 0 && standings.every(standing => standing === 'tried');
   if (begun) {
     return !allTried || formingMs !== undefined || lackingMs < GROUP_REFORM_MS;
@@ -82,7 +82,7 @@
 }
 
 /** The reason given in the refusal; if several apply, the one that is likely to end first. */
-export function noTargetReason({ standings }: TargetOutlook): NoTargetReason {
+export function noTargetReason({ statuses: standings }: TargetAvailability): NoTargetReason {
   const reasonsByDuration: readonly Exclude<NoTargetReason, 'no-target' | 'quarantined'>[] = [
     'cold-limit',
     'rate-limit',
@@ -96,7 +96,7 @@
 }
 
 // True if only rate-limited and cold hosts without allowance are left; `paced-wait.ts` decides about that wait.
-function hasOnlyPacedHosts(standings: readonly TargetStanding[]): boolean {
+function hasOnlyPacedHosts(standings: readonly TargetStatus[]): boolean {
   return (
     standings.some(isPaced) &&
     standings.every(standing => isPaced(standing) || standing === 'tried')
@@ -104,7 +104,7 @@
 }
 
 // True if evacuations or home regions exclude hosts: both last, so that no change is expected soon.
-function isExcludedByOperator(standings: readonly TargetStanding[]): boolean {
+function isExcludedByOperator(standings: readonly TargetStatus[]): boolean {
   const isExcluded = standings.includes('evacuated') || standings.includes('outside-home-regions');
   return isExcluded && !standings.includes('evacuations-unknown');
 }
--- a/packages/entry/src/requests/withheld-send.test.ts
+++ b/packages/entry/src/requests/withheld-send.test.ts
@@ -6,7 +6,7 @@
 import type { HostEntry } from '../hosts/host-entry.js';
 import type { Target } from '../routing/target-chooser.js';
 import { monotonicMs } from '../server/time.js';
-import { relayServices, requestContext, UpstreamStandIn } from '../testing/relay.js';
+import { relayServices, requestContext, TestUpstreamHost } from '../testing/relay.js';
 import { PlainRelay } from './plain-relay.js';
 import type { RelayServices } from './relay-services.js';
 import { StreamRelay } from './stream-relay.js';
@@ -23,11 +23,11 @@
 }
 
 describe('a request whose chosen host has become ineligible', () => {
-  let hosts: UpstreamStandIn[];
+  let hosts: TestUpstreamHost[];
   let targets: Target[];
 
   beforeEach(async () => {
-    hosts = [new UpstreamStandIn(sendsOneEvent), new UpstreamStandIn(sendsOneEvent)];
+    hosts = [new TestUpstreamHost(sendsOneEvent), new TestUpstreamHost(sendsOneEvent)];
     targets = await Promise.all(hosts.map((host, index) => host.listen(`h${index}`)));
   });
 
@@ -41,7 +41,7 @@
     const queue = [...targets];
     const services = relayServices(() => queue.shift());
     Object.assign(services.eligibility, {
-      stillMay: ({ id }: HostEntry) => !ineligible.includes(id),
+      mayWrite: ({ id }: HostEntry) => !ineligible.includes(id),
     });
     return services;
   }
@@ -52,7 +52,7 @@
       const { context, answer } = requestContext('r', { ...route, maxAttempts: 1 });
       await new Relay(context, services).run();
       expect(answer.status).to.equal(200);
-      expect(hosts.map(({ seen }) => seen.length)).to.deep.equal([0, 1]);
+      expect(hosts.map(({ receivedIds: seen }) => seen.length)).to.deep.equal([0, 1]);
       expect(services.activities.isAvoided('h0', monotonicMs())).to.equal(false);
     });
 
@@ -61,7 +61,7 @@
       const { context, answer } = requestContext('r', route);
       await new Relay(context, services).run();
       expect(answer.status).to.equal(503);
-      expect(hosts.map(({ seen }) => seen.length)).to.deep.equal([0, 0]);
+      expect(hosts.map(({ receivedIds: seen }) => seen.length)).to.deep.equal([0, 0]);
     });
   }
 });
--- a/packages/entry/src/routing/backoff-days.test.ts
+++ b/packages/entry/src/routing/backoff-simulation.test.ts
@@ -12,10 +12,10 @@
 import { HostRegistry } from '../hosts/host-registry.js';
 import { silentLog } from '../server/log.js';
 import { Counters, Gauges } from '../server/metrics.js';
-import { readTestHost, testHost } from '../testing/groups.js';
+import { testHost, testHostReading } from '../testing/groups.js';
 import type { EligibilityFacts } from './eligibility.js';
 import { HostActivities } from './host-activity.js';
-import { HostNotices, MOST_SPREAD_MS } from './host-notices.js';
+import { HostNotices, MAX_JITTER_MS } from './host-notices.js';
 import { SendEligibility } from './send-eligibility.js';
 import type { TargetQuery } from './target-chooser.js';
 import { TargetChooser } from './target-chooser.js';
@@ -67,7 +67,7 @@
   readonly #disabled: DisabledMechanism | undefined;
   readonly #hosts: Host[] = [];
   readonly #registry = new HostRegistry(
-    (_, value) => readTestHost(value as HostEntry),
+    (_, value) => testHostReading(value as HostEntry),
     silentLog(),
   );
   readonly #counters = new Counters();
@@ -86,12 +86,12 @@
     this.#disabled = disabled;
     const gauges = new Gauges();
     this.#notices = new HostNotices({
-      leaves: host => {
+      onHostLeaving: host => {
         if (disabled !== 'leaving') {
-          this.#registry.noteLeaving(host);
+          this.#registry.recordShutdown(host);
         }
       },
-      reported: () => undefined,
+      onReportNeeded: () => undefined,
       log: silentLog(),
       counters: this.#counters,
       gauges,
@@ -100,7 +100,7 @@
     this.#eligibility = new SendEligibility(this.#eligibilityFacts(), this.#counters);
     this.#chooser = new TargetChooser(this.#registry, new HostActivities(), {
       failureDomain: 'a',
-      othersAt: () => 0,
+      peerRequestsAt: () => 0,
       eligibility: (host, homes) => this.#eligibility.of(host, homes, this.#monotonicMs),
     });
     for (let index = 0; index < HOST_COUNT; index++) {
@@ -202,7 +202,7 @@
   #noteRefusal(): void {
     const isAvailable = this.#hosts.some(host => {
       const hasNoBackoff = host.backoffs.every(
-        ({ monotonicUntil }) => monotonicUntil + MOST_SPREAD_MS < this.#monotonicMs,
+        ({ monotonicUntil }) => monotonicUntil + MAX_JITTER_MS < this.#monotonicMs,
       );
       return hasNoBackoff && host.leavingSince === undefined;
     });
@@ -211,7 +211,7 @@
 
   #write(entry: HostEntry): void {
     const latest = this.#registry.latestOf(entry);
-    const mayWrite = this.#eligibility.stillMay(latest, [], this.#monotonicMs);
+    const mayWrite = this.#eligibility.mayWrite(latest, [], this.#monotonicMs);
     if (!mayWrite && this.#disabled !== 'check-at-write') {
       return;
     }
@@ -235,7 +235,7 @@
       host.leavingSince ??= this.#realMs;
     }
     const noticeHost = this.#disabled === 'incarnation' ? { ...entry, startedAt: 1 } : entry;
-    this.#notices.hear(noticeHost, { backoffMs, isLeaving: host.leaving });
+    this.#notices.receive(noticeHost, { backoffMs, isLeaving: host.leaving });
   }
 
   #advance(ms: number): void {
@@ -252,7 +252,7 @@
     const value = testHost(String(index), { service: 's', startedAt, fabricDomain: undefined });
     this.#revision += 1;
     const object = { name: value.id, revision: this.#revision, value };
-    this.#registry.takeChanges([{ object, deleted: false }]);
+    this.#registry.applyChanges([{ object, deleted: false }]);
   }
 }
 
--- a/packages/entry/src/routing/connect-times.ts
+++ b/packages/entry/src/routing/connect-times.ts
@@ -10,7 +10,7 @@
  */
 const MIN_CONNECT_MS = 100;
 /** Maximum timeout, in milliseconds, for a slow long-distance link; also used while no connect time is known. */
-export const MOST_CONNECT_MS = 300;
+export const MAX_CONNECT_MS = 300;
 /** The timeout as a multiple of the average connect time. */
 const TIMEOUT_FACTOR = 10;
 /** Weight of the newest connect time, 0 to 1: small, so that a few unreachable hosts hardly raise the average. */
@@ -27,11 +27,11 @@
   }
 
   /** Connect timeout for a host of the failure domain, in milliseconds. */
-  limitMs(failureDomain: string): number {
+  timeoutMs(failureDomain: string): number {
     const averageMs = this.#averageMs.get(failureDomain);
     if (averageMs === undefined) {
-      return MOST_CONNECT_MS;
+      return MAX_CONNECT_MS;
     }
-    return Math.min(MOST_CONNECT_MS, Math.max(MIN_CONNECT_MS, averageMs * TIMEOUT_FACTOR));
+    return Math.min(MAX_CONNECT_MS, Math.max(MIN_CONNECT_MS, averageMs * TIMEOUT_FACTOR));
   }
 }
--- a/packages/entry/src/routing/demand-meter.ts
+++ b/packages/entry/src/routing/demand-meter.ts
@@ -29,14 +29,14 @@
   }
 
   /** Records a request; `tokenCounts`: the prompt's tokens and the most that are generated, separated by a comma. */
-  note(service: string, model: string, tokenCounts: string | undefined): void {
+  noteRequest(service: string, model: string, tokenCounts: string | undefined): void {
     const now = monotonicMs();
     add(this.#sums, keyOf(service, model), workOf(tokenCounts), now);
     add(this.#sums, keyOf(service, ALL_REQUESTS), 1, now);
   }
 
   /** The sums of this entry host, by key. */
-  counts(): [string, number][] {
+  ownSums(): [string, number][] {
     const now = monotonicMs();
     return [...this.#sums].map(([key, sum]) => [key, Math.round(currentSum(sum, now))]);
   }
@@ -48,11 +48,11 @@
 
   /** The declared profile of an engine, with its models' measured shares of the work. */
   profileOf(service: string, declared: EngineProfile | undefined): EngineProfile | undefined {
-    return declared && { ...declared, models: this.shared(service, declared.models) };
+    return declared && { ...declared, models: this.withMeasuredShares(service, declared.models) };
   }
 
   /** The models with their shares of the work, 0 to 1: the declared ones, replaced gradually by the measured ones. */
-  shared<T extends { readonly name: string; readonly workShare: number }>(
+  withMeasuredShares<T extends { readonly name: string; readonly workShare: number }>(
     service: string,
     models: readonly T[],
   ): readonly T[] {
--- a/packages/entry/src/routing/domain-reach.ts
+++ b/packages/entry/src/routing/domain-reachability.ts
@@ -19,7 +19,7 @@
 type DomainState = { readonly failed: Map<string, number>; avoidUntil: number };
 
 /** Reachability of failure domains, by name. */
-export class DomainReach {
+export class DomainReachability {
   readonly #domains = new Map<string, DomainState>();
 
   /** Records that a host could not be reached. */
--- a/packages/entry/src/routing/eligibility.ts
+++ b/packages/entry/src/routing/eligibility.ts
@@ -92,7 +92,7 @@
  * Returns whether the host may receive a request now, and claims the host for it: if the result is `eligible`, the
  * allowances for a limited host have been used.
  */
-export function takeEligibility(
+export function claimIfEligible(
   host: HostEntry,
   homeRegions: HomeRegions,
   facts: EligibilityFacts,
--- a/packages/entry/src/routing/host-activity.ts
+++ b/packages/entry/src/routing/host-activity.ts
@@ -2,7 +2,7 @@
 import type { HostEntry } from '../hosts/host-entry.js';
 import { monotonicMs } from '../server/time.js';
 import { ConnectTimes } from './connect-times.js';
-import { DomainReach } from './domain-reach.js';
+import { DomainReachability } from './domain-reachability.js';
 
 /** Weight of the newest value in the moving average of a host, 0 to 1. */
 const SMOOTHING = 0.25;
@@ -57,16 +57,16 @@
 type TypicalTime = { ms: number; count: number };
 
 /** Key of the requests whose times can be compared: those for one model, or for one plain service. */
-export function kindOf(service: string, model: string | undefined): string {
+export function requestKind(service: string, model: string | undefined): string {
   return `${service}/${model ?? ''}`;
 }
 
 /** The activity of all upstream hosts, by host id. */
 export class HostActivities {
   /** Reachability of failure domains as observed by this entry host. */
-  readonly reach = new DomainReach();
+  readonly reach = new DomainReachability();
   /** Connect times of upstream hosts, by failure domain. */
-  readonly connects = new ConnectTimes();
+  readonly connectTimes = new ConnectTimes();
   readonly #hosts = new Map<string, HostActivity>();
   readonly #typical = new Map<string, TypicalTime>();
 
@@ -90,17 +90,17 @@
   }
 
   /** Counts a request that is sent to the host. */
-  enter(id: string): void {
+  noteRequestSent(id: string): void {
     this.of(id).inFlight += 1;
   }
 
   /** Counts a request whose first bytes arrived from the host. */
-  begin(id: string): void {
+  noteResponseBegun(id: string): void {
     this.of(id).begun += 1;
   }
 
   /** Removes a request that ended at the host; `begun`: its first bytes had arrived. */
-  leave(id: string, begun: boolean): void {
+  noteRequestEnded(id: string, begun: boolean): void {
     const activity = this.of(id);
     activity.inFlight = Math.max(0, activity.inFlight - 1);
     activity.begun = Math.max(0, activity.begun - Number(begun));
@@ -132,7 +132,7 @@
   }
 
   /** Records the time to the first event or the answer of a request, in milliseconds, for a kind of request. */
-  noteFirst(id: string, ms: number, kind: string): void {
+  noteFirstResponse(id: string, ms: number, kind: string): void {
     this.#noteTypical(ms, kind);
     const activity = this.of(id);
     const averageMs = activity.firstMs ?? ms;
@@ -191,7 +191,7 @@
   }
 
   /** An entry host found that the host's process has ended: requests avoid the host until its entry is removed. */
-  noteEnded(id: string): void {
+  noteProcessEnded(id: string): void {
     this.of(id).avoidUntil = monotonicMs() + ENDED_AVOID_MS;
   }
 
@@ -199,7 +199,7 @@
    * Clears the failures and times of hosts that were removed or have restarted, since they do not apply to the next
    * process with the same id. Requests in progress there are counted until they end by themselves.
    */
-  departed(hosts: readonly HostEntry[]): void {
+  clearRemoved(hosts: readonly HostEntry[]): void {
     for (const { id } of hosts) {
       const activity = this.#hosts.get(id);
       if (activity !== undefined) {
@@ -211,13 +211,13 @@
   }
 
   /** Milliseconds for which new requests should still prefer other hosts; 0: the host is not avoided. */
-  avoidedLeftMs(id: string, now: number): number {
+  avoidanceLeftMs(id: string, now: number): number {
     return Math.max(0, (this.#hosts.get(id)?.avoidUntil ?? -Infinity) - now);
   }
 
   /** True while new requests should prefer other hosts; `now` in monotonic milliseconds. */
   isAvoided(id: string, now: number): boolean {
-    return this.avoidedLeftMs(id, now) > 0;
+    return this.avoidanceLeftMs(id, now) > 0;
   }
 
   /** Deletes the activity of idle hosts that are no longer registered. */
--- a/packages/entry/src/routing/host-notices.test.ts
+++ b/packages/entry/src/routing/host-notices.test.ts
@@ -4,7 +4,7 @@
 import type { HostIncarnation } from '../hosts/host-entry.js';
 import { silentLog } from '../server/log.js';
 import { Counters, Gauges } from '../server/metrics.js';
-import { HostNotices, MOST_BACKOFF_MS, MOST_SPREAD_MS, SPREAD_PART } from './host-notices.js';
+import { HostNotices, JITTER_PART, MAX_BACKOFF_MS, MAX_JITTER_MS } from './host-notices.js';
 
 const HOST: HostIncarnation = { id: 'h', startedAt: 1 };
 
@@ -17,8 +17,8 @@
 
   constructor(random: () => number = () => 0) {
     this.notices = new HostNotices({
-      leaves: ({ id }) => this.leaving.push(id),
-      reported: () => undefined,
+      onHostLeaving: ({ id }) => this.leaving.push(id),
+      onReportNeeded: () => undefined,
       log: silentLog(),
       counters: this.counters,
       gauges: new Gauges(),
@@ -28,7 +28,7 @@
   }
 
   addBackoff(backoffMs: number, host = HOST): void {
-    this.notices.hear(host, { backoffMs, isLeaving: false });
+    this.notices.receive(host, { backoffMs, isLeaving: false });
   }
 
   leftMs(host = HOST): number {
@@ -43,31 +43,31 @@
     expect(fixture.leftMs()).to.equal(3_000);
     expect(fixture.leftMs({ id: 'h', startedAt: 2 })).to.equal(0);
     expect(fixture.leftMs({ id: 'other', startedAt: 1 })).to.equal(0);
-    expect(fixture.notices.backingOff).to.equal(1);
+    expect(fixture.notices.backingOffCount).to.equal(1);
     fixture.now = 3_000;
     expect(fixture.leftMs()).to.equal(0);
-    expect(fixture.notices.backingOff).to.equal(0);
+    expect(fixture.notices.backingOffCount).to.equal(0);
   });
 
   it('keep a backoff when a later answer contains no notice', () => {
     const fixture = new TestNotices();
     fixture.addBackoff(3_000);
-    fixture.notices.hear(HOST, { backoffMs: 0, isLeaving: false });
+    fixture.notices.receive(HOST, { backoffMs: 0, isLeaving: false });
     expect(fixture.leftMs()).to.equal(3_000);
   });
 
   it('limit a backoff to ten minutes', () => {
     const fixture = new TestNotices(() => 0.999);
     fixture.addBackoff(1e12);
-    expect(fixture.leftMs()).to.be.at.most(MOST_BACKOFF_MS + MOST_SPREAD_MS);
+    expect(fixture.leftMs()).to.be.at.most(MAX_BACKOFF_MS + MAX_JITTER_MS);
   });
 
   it('report a leaving host once for each incarnation', () => {
     const fixture = new TestNotices();
     const notice = { backoffMs: 0, isLeaving: true };
-    fixture.notices.hear(HOST, notice);
-    fixture.notices.hear(HOST, notice);
-    fixture.notices.hear({ ...HOST, startedAt: 2 }, notice);
+    fixture.notices.receive(HOST, notice);
+    fixture.notices.receive(HOST, notice);
+    fixture.notices.receive({ ...HOST, startedAt: 2 }, notice);
     expect(fixture.leaving).to.deep.equal(['h', 'h']);
     expect(fixture.counters.text()).to.contain('hosts_leaving_total 2');
   });
@@ -77,7 +77,7 @@
     for (let index = 0; index < 10_000; index++) {
       fixture.addBackoff(1_000, { id: `h${index}`, startedAt: index });
     }
-    expect(fixture.notices.backingOff).to.be.at.most(4_096);
+    expect(fixture.notices.backingOffCount).to.be.at.most(4_096);
     expect(fixture.leftMs({ id: 'h9999', startedAt: 9_999 })).to.equal(1_000);
   });
 
@@ -97,7 +97,7 @@
         fixture.now += afterMs;
         fixture.addBackoff(forMs);
         end = Math.max(end, fixture.now + forMs);
-        const spreadMs = Math.min(forMs * SPREAD_PART, MOST_SPREAD_MS);
+        const spreadMs = Math.min(forMs * JITTER_PART, MAX_JITTER_MS);
         latestEnd = Math.max(latestEnd, fixture.now + forMs + spreadMs);
         expect(fixture.now + fixture.leftMs()).to.be.within(end, latestEnd + 1e-6);
       }
@@ -107,11 +107,11 @@
 
   it('report a leaving host to a peer once, and apply a report from a peer as from the host', () => {
     const [reporting, peer] = [new TestNotices(), new TestNotices()];
-    reporting.notices.hear(HOST, { backoffMs: 0, isLeaving: true });
+    reporting.notices.receive(HOST, { backoffMs: 0, isLeaving: true });
     expect(reporting.notices.since(0)).to.deep.equal([HOST]);
     expect(reporting.notices.since(reporting.notices.sequence)).to.deep.equal([]);
-    peer.notices.takeLeaving(reporting.notices.since(0));
-    peer.notices.takeLeaving(reporting.notices.since(0));
+    peer.notices.receiveLeaving(reporting.notices.since(0));
+    peer.notices.receiveLeaving(reporting.notices.since(0));
     expect(peer.leaving).to.deep.equal(['h']);
     reporting.now = 700_000;
     expect(reporting.notices.since(0)).to.deep.equal([]);
--- a/packages/entry/src/routing/host-notices.ts
+++ b/packages/entry/src/routing/host-notices.ts
@@ -9,17 +9,17 @@
  * peers.
  */
 import type { HostIncarnation } from '../hosts/host-entry.js';
-import { StartMemory } from '../hosts/start-memory.js';
-import type { HostNotice, WordSource } from '../requests/host-notice.js';
+import { HostStartMap } from '../hosts/host-start-map.js';
+import type { HostNotice, NoticeSource } from '../requests/host-notice.js';
 import type { Log } from '../server/log.js';
 import type { Counters, Gauges } from '../server/metrics.js';
 
 /** Options of {@link HostNotices}. */
 export type HostNoticesOptions = {
   /** Called at the first notice that an incarnation of a host is leaving. */
-  readonly leaves: (host: HostIncarnation) => void;
+  readonly onHostLeaving: (host: HostIncarnation) => void;
   /** Called when a leaving host should be reported to the peers. */
-  readonly reported: () => void;
+  readonly onReportNeeded: () => void;
   readonly log: Log;
   readonly counters: Counters;
   readonly gauges: Gauges;
@@ -34,17 +34,17 @@
  * limits the cost of a host that asks for days by mistake. A host that does mean such a time receives one request from
  * each entry host in ten minutes.
  */
-export const MOST_BACKOFF_MS = 600_000;
+export const MAX_BACKOFF_MS = 600_000;
 /**
  * Greatest random extension of a backoff, as a part of it (0 to 1): entry hosts that were rejected at the same moment
  * must not all send again at the same moment.
  */
-export const SPREAD_PART = 0.1;
+export const JITTER_PART = 0.1;
 /**
  * Greatest random extension of a backoff, in milliseconds. Half a second spreads a hundred entry hosts over some ten
  * round trips.
  */
-export const MOST_SPREAD_MS = 500;
+export const MAX_JITTER_MS = 500;
 /** Time for which a leaving host is reported to newly reachable peers, in ms; most such hosts have ended by then. */
 const LEAVING_REPORT_MS = 600_000;
 
@@ -64,23 +64,25 @@
    * Ends of the backoffs. The monotonic clock does not advance while the machine is suspended, so requests may be
    * withheld for longer than the host asked, but never for less, which could happen when a wall clock is set.
    */
-  readonly #backoffs = new StartMemory<number>();
-  readonly #leaving = new StartMemory<LeavingHost>();
+  readonly #backoffs = new HostStartMap<number>();
+  readonly #leaving = new HostStartMap<LeavingHost>();
   #sequence = 0;
 
   constructor(options: HostNoticesOptions) {
     this.#options = options;
-    options.gauges.follow('hosts_backing_off', () => [{ labels: {}, value: this.backingOff }]);
+    options.gauges.register('hosts_backing_off', () => [
+      { labels: {}, value: this.backingOffCount },
+    ]);
   }
 
   /** Number of hosts whose backoff has not ended. */
-  get backingOff(): number {
+  get backingOffCount(): number {
     const now = this.#options.now();
     return this.#backoffs.values.filter(until => until > now).length;
   }
 
   /** Applies the notice that was read from an answer of the host. */
-  hear(host: HostIncarnation, notice: HostNotice): void {
+  receive(host: HostIncarnation, notice: HostNotice): void {
     if (notice.backoffMs > 0) {
       this.#addBackoff(host, notice.backoffMs);
     }
@@ -90,7 +92,7 @@
   }
 
   /** Applies reports from peers of hosts that are shutting down. */
-  readonly takeLeaving = (hosts: readonly HostIncarnation[]): void => {
+  readonly receiveLeaving = (hosts: readonly HostIncarnation[]): void => {
     hosts.forEach(host => {
       this.#addLeaving(host, 'other-entry-host');
     });
@@ -126,25 +128,25 @@
     const { log, counters, now, random = Math.random } = this.#options;
     const receivedAt = now();
     const leftMs = this.backoffLeftMs(host, receivedAt);
-    const backoffMs = Math.min(askedMs, MOST_BACKOFF_MS);
+    const backoffMs = Math.min(askedMs, MAX_BACKOFF_MS);
     const until =
-      receivedAt + backoffMs + random() * Math.min(backoffMs * SPREAD_PART, MOST_SPREAD_MS);
+      receivedAt + backoffMs + random() * Math.min(backoffMs * JITTER_PART, MAX_JITTER_MS);
     counters.count('host_backoffs_total', { repeated: String(leftMs > 0) });
     if (leftMs === 0) {
       log.info('host requested a backoff', { host: host.id, forMs: Math.round(askedMs) });
     }
     if (until > receivedAt + leftMs) {
-      this.#backoffs.forget(end => end <= receivedAt);
+      this.#backoffs.deleteWhere(end => end <= receivedAt);
       this.#backoffs.set(host, until);
     }
   }
 
-  #addLeaving({ id, startedAt }: HostIncarnation, source: WordSource): void {
+  #addLeaving({ id, startedAt }: HostIncarnation, source: NoticeSource): void {
     const host = { id, startedAt };
     if (this.#leaving.has(host)) {
       return;
     }
-    const { log, counters, leaves, reported, now } = this.#options;
+    const { log, counters, onHostLeaving: leaves, onReportNeeded: reported, now } = this.#options;
     this.#sequence += 1;
     this.#leaving.set(host, { host, since: now(), sequence: this.#sequence });
     counters.count('hosts_leaving_total');
--- a/packages/entry/src/routing/limited-choice.test.ts
+++ b/packages/entry/src/routing/limited-choice.test.ts
@@ -5,9 +5,9 @@
 import type { HostEntry } from '../hosts/host-entry.js';
 import { HostRegistry } from '../hosts/host-registry.js';
 import { silentLog } from '../server/log.js';
-import { readTestHost } from '../testing/groups.js';
+import { testHostReading } from '../testing/groups.js';
 import type { Eligibility } from './eligibility.js';
-import { eligibilityOf, takeEligibility } from './eligibility.js';
+import { claimIfEligible, eligibilityOf } from './eligibility.js';
 import { HostActivities } from './host-activity.js';
 import type { ChooserOptions, TargetQuery } from './target-chooser.js';
 import { TargetChooser } from './target-chooser.js';
@@ -23,33 +23,33 @@
 
 function chooserOf(options: Partial<ChooserOptions>, names = HOST_IDS): TargetChooser {
   const registry = new HostRegistry(
-    (id, value) => readTestHost({ ...(value as HostEntry), id }),
+    (id, value) => testHostReading({ ...(value as HostEntry), id }),
     silentLog(),
   );
   const value = { service: 's', ip: '127.0.0.1', port: 1, accepting: true, failureDomain: 'a' };
-  registry.takeList({
+  registry.applyList({
     objects: names.map(name => ({ name, revision: 1, value })),
     revision: 1,
   });
   return new TargetChooser(registry, new HostActivities(), {
     failureDomain: 'a',
     eligibility: () => 'eligible',
-    othersAt: () => 0,
+    peerRequestsAt: () => 0,
     ...options,
   });
 }
 
 describe('choice among hosts with rate limits', () => {
   it('prefers a host of whose limit this entry host owns a share, so that no allowance is lost', () => {
-    const chooser = chooserOf({ ownsShare: ({ id }) => id === 'h7' });
+    const chooser = chooserOf({ ownsRateShare: ({ id }) => id === 'h7' });
     const chosen = Array.from({ length: 50 }, () => chooser.choose(QUERY)?.host.id);
     expect(chosen.filter(id => id === 'h7').length).to.be.at.least(45);
   });
 
   it('does not choose such a host while its load is much higher than that of others', () => {
     const chooser = chooserOf({
-      ownsShare: ({ id }) => id === 'h7',
-      othersAt: id => (id === 'h7' ? 40 : 0),
+      ownsRateShare: ({ id }) => id === 'h7',
+      peerRequestsAt: id => (id === 'h7' ? 40 : 0),
     });
     const chosen = Array.from({ length: 50 }, () => chooser.choose(QUERY)?.host.id);
     expect(chosen).to.not.include('h7');
@@ -81,10 +81,10 @@
     };
     const oneExhausted = { ...facts, paces: [pace('cold-limit', true), pace('rate-limit', false)] };
     expect(eligibilityOf(host, [], oneExhausted, 0)).to.equal('rate-limit');
-    expect(takeEligibility(host, [], oneExhausted, 0)).to.equal('rate-limit');
+    expect(claimIfEligible(host, [], oneExhausted, 0)).to.equal('rate-limit');
     expect(used).to.deep.equal([]);
     const bothAvailable = { ...facts, paces: [pace('cold-limit', true), pace('rate-limit', true)] };
-    expect(takeEligibility(host, [], bothAvailable, 0)).to.equal('eligible');
+    expect(claimIfEligible(host, [], bothAvailable, 0)).to.equal('eligible');
     expect(used).to.deep.equal(['cold-limit', 'rate-limit']);
   });
 });
--- a/packages/entry/src/routing/overload-guard.ts
+++ b/packages/entry/src/routing/overload-guard.ts
@@ -20,7 +20,7 @@
 }
 
 /** True if a request is to be refused; `draw` is a uniform random number in [0, 1). */
-export function isRefused(
+export function shouldRefuse(
   chooser: TargetChooser,
   query: TargetQuery,
   objectiveMs: number,
--- a/packages/entry/src/routing/retry-budget.ts
+++ b/packages/entry/src/routing/retry-budget.ts
@@ -18,7 +18,7 @@
 };
 
 /** Returns bounds that read the settings at each use, since settings may be reloaded; the window is read only once. */
-export function liveRetryBounds(bounds: () => EntryBounds): RetryBounds {
+export function retryBoundsFromSettings(bounds: () => EntryBounds): RetryBounds {
   return {
     get ratio() {
       return bounds().retryRatio;
@@ -46,7 +46,7 @@
 const BUCKETS = 10;
 
 /** Reason for a further attempt: `lost`: a retry after a lost or rejected attempt; `beside`: a hedged attempt. */
-export type RepeatReason = 'lost' | 'beside';
+export type RetryReason = 'lost' | 'beside';
 
 /** The budget of one service at this entry host. */
 export class RetryBudget {
@@ -69,7 +69,7 @@
   }
 
   /** True if a further attempt for this reason is allowed now. */
-  hasRoom(reason: RepeatReason): boolean {
+  hasAllowance(reason: RetryReason): boolean {
     const now = monotonicMs();
     const { ratio, slack } = this.#bounds;
     const hosts = this.#hosts() || ASSUMED_HOSTS;
@@ -79,8 +79,8 @@
   }
 
   /** Uses the allowance for one further attempt; returns false if there is none. */
-  take(reason: RepeatReason): boolean {
-    if (!this.hasRoom(reason)) {
+  take(reason: RetryReason): boolean {
+    if (!this.hasAllowance(reason)) {
       return false;
     }
     this.#retries.add(monotonicMs());
--- a/packages/entry/src/routing/routing.test.ts
+++ b/packages/entry/src/routing/routing.test.ts
@@ -110,11 +110,11 @@
 
   it('starts from the declared share and follows the actual requests', () => {
     const meter = new DemandMeter();
-    expect(meter.shared('lm', models)[0]?.workShare).to.equal(0.67);
+    expect(meter.withMeasuredShares('lm', models)[0]?.workShare).to.equal(0.67);
     for (let request = 0; request < 400; request++) {
-      meter.note('lm', request % 4 === 0 ? 'm' : 'n', '100,50');
+      meter.noteRequest('lm', request % 4 === 0 ? 'm' : 'n', '100,50');
     }
-    const [first, second] = meter.shared('lm', models);
+    const [first, second] = meter.withMeasuredShares('lm', models);
     expect(first?.workShare).to.be.within(0.2, 0.32);
     expect(second?.workShare).to.be.within(0.68, 0.8);
   });
@@ -131,13 +131,13 @@
   it('weights a few requests of its own less than many of peers', () => {
     const peer = new DemandMeter();
     for (let request = 0; request < 1_000; request++) {
-      peer.note('lm', request % 2 === 0 ? 'm' : 'n', '100,50');
+      peer.noteRequest('lm', request % 2 === 0 ? 'm' : 'n', '100,50');
     }
-    const reportedRequests = new Map(peer.counts());
+    const reportedRequests = new Map(peer.ownSums());
     const meter = new DemandMeter(key => reportedRequests.get(key) ?? 0);
     for (let request = 0; request < 8; request++) {
-      meter.note('lm', 'n', '100,50');
+      meter.noteRequest('lm', 'n', '100,50');
     }
-    expect(meter.shared('lm', models)[0]?.workShare).to.be.within(0.47, 0.53);
+    expect(meter.withMeasuredShares('lm', models)[0]?.workShare).to.be.within(0.47, 0.53);
   });
 });
--- a/packages/entry/src/routing/send-eligibility.ts
+++ b/packages/entry/src/routing/send-eligibility.ts
@@ -2,7 +2,7 @@
 import type { HostEntry } from '../hosts/host-entry.js';
 import type { Counters } from '../server/metrics.js';
 import type { Eligibility, EligibilityFacts, HomeRegions } from './eligibility.js';
-import { eligibilityAtWrite, eligibilityOf, takeEligibility } from './eligibility.js';
+import { claimIfEligible, eligibilityAtWrite, eligibilityOf } from './eligibility.js';
 
 /** Decides whether this entry host may send a request to a host. */
 export class SendEligibility {
@@ -24,7 +24,7 @@
    * written after all, call {@link giveBack}.
    */
   take(host: HostEntry, homeRegions: HomeRegions, now: number): Eligibility {
-    const verdict = takeEligibility(host, homeRegions, this.#facts, now);
+    const verdict = claimIfEligible(host, homeRegions, this.#facts, now);
     this.#countWithheld(verdict);
     return verdict;
   }
@@ -33,7 +33,7 @@
    * Checks a request that `take` allowed again, just before it is written; if false, it must not be written. It may
    * have waited for a connection, and the host may have reported a rate limit, a backoff or its drain meanwhile.
    */
-  stillMay(host: HostEntry, homeRegions: HomeRegions, now: number): boolean {
+  mayWrite(host: HostEntry, homeRegions: HomeRegions, now: number): boolean {
     const verdict = eligibilityAtWrite(host, homeRegions, this.#facts, now);
     this.#countWithheld(verdict);
     return verdict === 'eligible';
--- a/packages/entry/src/routing/send-rules.ts
+++ b/packages/entry/src/routing/send-rules.ts
@@ -3,8 +3,8 @@
 import { EvacuatedDomains } from '../evacuation/evacuated-domains.js';
 import type { HostIncarnation } from '../hosts/host-entry.js';
 import type { MemberView } from '../peers/membership.js';
-import { combinedPace, combinedPlaceInMs } from '../rate-limits/combined-pace.js';
-import { NamedLimits } from '../rate-limits/named-limits.js';
+import { combinedNextSendByAnyInMs, combinedPace } from '../rate-limits/combined-pace.js';
+import { HostRateLimits } from '../rate-limits/host-rate-limits.js';
 import { PacedSends } from '../rate-limits/paced-sends.js';
 import type { EntrySettings } from '../server/entry-settings.js';
 import type { Log } from '../server/log.js';
@@ -25,34 +25,41 @@
   /** Slow start settings of a service; undefined if it has none. */
   readonly slowStartOf: (service: string) => SlowStart | undefined;
   /** Called when an incarnation of a host first reports that it is shutting down. */
-  readonly leaves: (host: HostIncarnation) => void;
+  readonly onHostLeaving: (host: HostIncarnation) => void;
   /** Called when a host's shutdown should be reported to the peers. */
-  readonly leavingReported: () => void;
+  readonly onLeavingReport: () => void;
   /** Called when there are new rate limits of hosts to report to the peers. */
-  readonly limitsReported: () => void;
+  readonly onLimitReport: () => void;
   readonly log: Log;
   readonly metrics: Metrics;
 };
 
 /** Evacuations, slow start, backoffs, rate limits and eligibility checks of one entry host. */
 export class SendRules {
-  readonly evacuated: EvacuatedDomains;
+  readonly evacuatedDomains: EvacuatedDomains;
   readonly slowStart: SlowStartLimits;
   readonly eligibility: SendEligibility;
   readonly notices: HostNotices;
-  readonly namedLimits: NamedLimits;
+  readonly namedLimits: HostRateLimits;
   /** The facts that the target chooser uses. */
-  readonly choice: SendChoiceFacts;
+  readonly choiceFacts: SendChoiceFacts;
 
   constructor(options: SendRulesOptions) {
-    const { settings, members, slowStartOf, leaves, log, metrics } = options;
+    const { settings, members, slowStartOf, onHostLeaving: leaves, log, metrics } = options;
     const { name, bounds, regions } = settings();
     const { counters, gauges } = metrics;
-    const reported = options.leavingReported;
-    this.notices = new HostNotices({ leaves, reported, log, counters, gauges, now: monotonicMs });
-    this.namedLimits = new NamedLimits({
+    const reported = options.onLeavingReport;
+    this.notices = new HostNotices({
+      onHostLeaving: leaves,
+      onReportNeeded: reported,
+      log,
+      counters,
+      gauges,
+      now: monotonicMs,
+    });
+    this.namedLimits = new HostRateLimits({
       bounds: () => settings().bounds,
-      reported: options.limitsReported,
+      onChange: options.onLimitReport,
       log,
       counters,
       gauges,
@@ -66,10 +73,10 @@
       log,
       counters,
     });
-    gauges.follow('cold_hosts', () => [{ labels: {}, value: this.slowStart.coldHosts }]);
-    this.evacuated = new EvacuatedDomains({
-      isFollowed: bounds.evacuationMs !== undefined,
-      ended: this.slowStart.evacuationEnded,
+    gauges.register('cold_hosts', () => [{ labels: {}, value: this.slowStart.coldHosts }]);
+    this.evacuatedDomains = new EvacuatedDomains({
+      isWatched: bounds.evacuationMs !== undefined,
+      ended: this.slowStart.noteEvacuationEnd,
       gauges,
       log,
     });
@@ -80,22 +87,22 @@
       self: name,
       members,
       boundOf: this.namedLimits.boundOf,
-      taken: this.namedLimits.noteSend,
+      onClaim: this.namedLimits.countSend,
     });
     const paces = [this.slowStart.sends, limitedSends];
     const facts: EligibilityFacts = {
-      evacuations: this.evacuated,
+      evacuations: this.evacuatedDomains,
       backoffs: this.notices,
       paces,
       regionOf,
     };
     this.eligibility = new SendEligibility(facts, counters);
-    this.choice = {
+    this.choiceFacts = {
       eligibility: (host, homeRegions, now) => this.eligibility.of(host, homeRegions, now),
       backoffLeftMs: (host, now) => this.notices.backoffLeftMs(host, now),
       paceOf: (host, now) => combinedPace(paces, host, now),
-      ownsShare: (host, now) => limitedSends.paceOf(host, now) !== undefined,
-      placeInMs: (host, now) => combinedPlaceInMs(paces, host, now),
+      ownsRateShare: (host, now) => limitedSends.paceOf(host, now) !== undefined,
+      placeInMs: (host, now) => combinedNextSendByAnyInMs(paces, host, now),
     };
   }
 }
--- a/packages/entry/src/routing/subset-choice.ts
+++ b/packages/entry/src/routing/subset-choice.ts
@@ -4,7 +4,7 @@
  */
 import type { HostEntry } from '../hosts/host-entry.js';
 import type { Counters } from '../server/metrics.js';
-import { HostSubset } from './host-subset.js';
+import { TargetRanking } from './target-ranking.js';
 
 /** The list of registered entry hosts. */
 export type SubsetMembers = {
@@ -13,7 +13,7 @@
 };
 
 /** The idle connections that this entry host keeps to upstream hosts. */
-export type KeptConnections = {
+export type IdleConnections = {
   /** Time for which an idle connection to a host of the service is kept, in milliseconds. */
   readonly idleMs: (service: string) => number;
   /** True while an idle connection to the host is kept. */
@@ -21,12 +21,12 @@
 };
 
 /** Options of {@link SubsetChoice}. */
-export type SubsetOptions = {
+export type SubsetChoiceOptions = {
   /** Name of this entry host. */
   readonly self: string;
   /** Undefined where the entry host has no peers: then the subset consists of all targets. */
   readonly membership: SubsetMembers | undefined;
-  readonly connections: KeptConnections;
+  readonly connections: IdleConnections;
   readonly counters: Counters;
 };
 
@@ -61,15 +61,15 @@
 
 /** The preferred subsets of one entry host, by service and model. */
 export class SubsetChoice {
-  readonly #options: SubsetOptions;
+  readonly #options: SubsetChoiceOptions;
   readonly #rates = new Map<string, Rate>();
   readonly #cachedRanks = new Map<string, CachedRanks>();
   #members: readonly string[] | undefined;
-  #subset: HostSubset;
+  #subset: TargetRanking;
 
-  constructor(options: SubsetOptions) {
+  constructor(options: SubsetChoiceOptions) {
     this.#options = options;
-    this.#subset = new HostSubset(options.self, []);
+    this.#subset = new TargetRanking(options.self, []);
   }
 
   /** Counts a request at its first attempt; `now` in monotonic milliseconds. */
@@ -129,7 +129,7 @@
     const members = membership?.names ?? [];
     if (this.#members !== members) {
       this.#members = members;
-      this.#subset = new HostSubset(self, members);
+      this.#subset = new TargetRanking(self, members);
       this.#cachedRanks.clear();
     }
   }
--- a/packages/entry/src/routing/target-outlook.test.ts
+++ b/packages/entry/src/routing/target-availability.test.ts
@@ -3,7 +3,7 @@
 import type { EngineProfile } from '../configuration/serving-configuration.js';
 import type { ReplicaGroup } from '../groups/replica-groups.js';
 import type { HostEntry, MembershipState } from '../hosts/host-entry.js';
-import { formingMs } from './target-outlook.js';
+import { formingMs } from './target-availability.js';
 
 const ENGINE: EngineProfile = {
   models: [{ name: 'm', size: 2, pace: 1, workShare: 1, loadMs: 12_000, warmMs: 1_100 }],
--- a/packages/entry/src/routing/target-outlook.ts
+++ b/packages/entry/src/routing/target-availability.ts
@@ -3,12 +3,12 @@
 import type { ReplicaGroup } from '../groups/replica-groups.js';
 import { headState } from '../groups/replica-groups.js';
 import type { HostEntry } from '../hosts/host-entry.js';
-import type { TargetStanding } from './target-standings.js';
+import type { TargetStatus } from './target-status.js';
 
 /** Why one request has no target, and when it could have one. */
-export type TargetOutlook = {
+export type TargetAvailability = {
   /** One status for each target that serves the service and model of the request. */
-  readonly standings: readonly TargetStanding[];
+  readonly statuses: readonly TargetStatus[];
   /**
    * Upper bound on the time until a group that is forming now serves the model, in milliseconds; the least one if
    * several are forming. Undefined if none is forming whose head may receive the request.
@@ -28,7 +28,7 @@
 const OPEN_DELAY_MS = 500;
 
 /**
- * Computes {@link TargetOutlook.formingMs} for a model, or for any model if it is undefined. `mayReceive` returns
+ * Computes {@link TargetAvailability.formingMs} for a model, or for any model if it is undefined. `mayReceive` returns
  * whether the request may be sent to a group's head.
  */
 export function formingMs(
--- a/packages/entry/src/routing/target-chooser.test.ts
+++ b/packages/entry/src/routing/target-chooser.test.ts
@@ -5,7 +5,7 @@
 import { HostRegistry } from '../hosts/host-registry.js';
 import { silentLog } from '../server/log.js';
 import { Counters } from '../server/metrics.js';
-import { readTestHost, testHost } from '../testing/groups.js';
+import { testHost, testHostReading } from '../testing/groups.js';
 import { HostActivities } from './host-activity.js';
 import type { OutlierVerdict } from './outlier-reports.js';
 import { SubsetChoice } from './subset-choice.js';
@@ -24,7 +24,7 @@
   domainOf: (name: string) => string = () => 'a',
 ): HostRegistry {
   const registry = new HostRegistry(
-    (id, value) => readTestHost({ ...(value as HostEntry), id }),
+    (id, value) => testHostReading({ ...(value as HostEntry), id }),
     silentLog(),
   );
   const value = { service: 's', ip: '127.0.0.1', port: 1, accepting: true };
@@ -33,7 +33,7 @@
     revision: 1,
     value: { ...value, failureDomain: domainOf(name) },
   }));
-  registry.takeList({ objects, revision: 1 });
+  registry.applyList({ objects, revision: 1 });
   return registry;
 }
 
@@ -48,7 +48,7 @@
       const chooser = new TargetChooser(registry, new HostActivities(), {
         failureDomain: 'a',
         eligibility: () => 'eligible',
-        othersAt: id => loads.get(id) ?? 0,
+        peerRequestsAt: id => loads.get(id) ?? 0,
       });
       const target = chooser.choose({
         service: SERVICE,
@@ -71,7 +71,7 @@
     const chooser = new TargetChooser(registryOf(['good', 'bad']), activities, {
       failureDomain: 'a',
       eligibility: () => 'eligible',
-      othersAt: id => (id === 'good' ? 50 : 0),
+      peerRequestsAt: id => (id === 'good' ? 50 : 0),
     });
     activities.noteFailure('bad');
     const query = { service: SERVICE, model: undefined, homeRegions: [] };
@@ -87,7 +87,7 @@
     const chooser = new TargetChooser(registry, activities, {
       failureDomain: 'a',
       eligibility: () => 'eligible',
-      othersAt: id => (registry.get(id)?.failureDomain === 'a' ? 50 : 0),
+      peerRequestsAt: id => (registry.get(id)?.failureDomain === 'a' ? 50 : 0),
     });
     const hostOf = (name: string): HostEntry => registry.get(name) as HostEntry;
     const chosenDomains = (): Set<string | undefined> => {
@@ -108,7 +108,7 @@
     const chooser = new TargetChooser(registryOf(names), new HostActivities(), {
       failureDomain: 'a',
       eligibility: () => 'eligible',
-      othersAt: id => (verdicts.has(id) ? 0 : 50),
+      peerRequestsAt: id => (verdicts.has(id) ? 0 : 50),
       outlier: ({ host }) => verdicts.get(host.id),
     });
     return () => {
@@ -146,17 +146,20 @@
     const model = { name: 'm', size: 2, pace: 1, workShare: 1, loadMs: 1, warmMs: 1 };
     const engine = { models: [model], slots: 1, loadsPerSecond: 1, loadsAtOnce: 1 };
     const service: Service = { ...SERVICE, engine: { ...engine, stagedModelsKept: 1 } };
-    const registry = new HostRegistry((_, value) => readTestHost(value as HostEntry), silentLog());
+    const registry = new HostRegistry(
+      (_, value) => testHostReading(value as HostEntry),
+      silentLog(),
+    );
     const member = (id: string, group: string, rank: number): HostEntry =>
       testHost(id, { service: 's', membership: { group, epoch: 1, rank, state: 'open' } });
     const hosts = [member('whole', 'g1', 0), member('x', 'g1', 1), member('lacking', 'g2', 0)];
     const objects = hosts.map(value => ({ name: value.id, revision: 1, value }));
-    registry.takeList({ objects, revision: 1 });
+    registry.applyList({ objects, revision: 1 });
     let lackingGroups = new Set(['g2']);
     const chooser = new TargetChooser(registry, new HostActivities(), {
       failureDomain: 'a',
       eligibility: () => 'eligible',
-      othersAt: id => (id === 'whole' ? 100 : 0),
+      peerRequestsAt: id => (id === 'whole' ? 100 : 0),
       lacksMember: group => lackingGroups.has(group.name),
     });
     const query = { service, model: 'm', homeRegions: [], exclude: NO_HOSTS };
@@ -177,12 +180,12 @@
     const chooser = new TargetChooser(registry, new HostActivities(), {
       failureDomain: 'a',
       eligibility: () => 'eligible',
-      othersAt: () => 0,
+      peerRequestsAt: () => 0,
     });
     const target = { host: registry.get('h0') as HostEntry, group: undefined };
     expect(chooser.isLost(target)).to.equal(false);
     const object = { name: 'h0', revision: 2, value: null };
-    registry.takeChanges([{ object, deleted: true }]);
+    registry.applyChanges([{ object, deleted: true }]);
     expect(chooser.isLost(target)).to.equal(true);
   });
 
@@ -191,14 +194,14 @@
     const chooser = new TargetChooser(registry, new HostActivities(), {
       failureDomain: 'a',
       eligibility: () => 'eligible',
-      othersAt: () => 0,
+      peerRequestsAt: () => 0,
     });
     const query = { service: SERVICE, model: undefined, homeRegions: [], exclude: NO_HOSTS };
     expect(chooser.choose(query)?.host.id).to.equal('h0');
-    registry.takeChanges([{ object: { name: 'h0', revision: 2, value: null }, deleted: true }]);
+    registry.applyChanges([{ object: { name: 'h0', revision: 2, value: null }, deleted: true }]);
     expect(chooser.choose(query)).to.equal(undefined);
     const value = { service: 's', accepting: true, failureDomain: 'a' };
-    registry.takeChanges([{ object: { name: 'h1', revision: 3, value }, deleted: false }]);
+    registry.applyChanges([{ object: { name: 'h1', revision: 3, value }, deleted: false }]);
     expect(chooser.choose(query)?.host.id).to.equal('h1');
   });
 
@@ -207,12 +210,12 @@
     const chooser = new TargetChooser(registryOf(['h0', 'h1']), activities, {
       failureDomain: 'a',
       eligibility: () => 'eligible',
-      othersAt: () => 0,
+      peerRequestsAt: () => 0,
     });
     const query = { service: SERVICE, model: undefined, homeRegions: [], exclude: NO_HOSTS };
-    activities.noteFirst('h0', 300, 's/');
+    activities.noteFirstResponse('h0', 300, 's/');
     expect(chooser.expectedFirstMs(query)).to.equal(undefined);
-    activities.noteFirst('h1', 200, 's/');
+    activities.noteFirstResponse('h1', 200, 's/');
     expect(chooser.expectedFirstMs(query)).to.equal(200);
   });
 
@@ -221,10 +224,10 @@
     const chooser = new TargetChooser(registryOf(['known', 'new']), activities, {
       failureDomain: 'a',
       eligibility: () => 'eligible',
-      othersAt: id => (id === 'new' ? 4 : 0),
+      peerRequestsAt: id => (id === 'new' ? 4 : 0),
     });
     for (let request = 0; request < 20; request++) {
-      activities.noteFirst('known', 200, 's/');
+      activities.noteFirstResponse('known', 200, 's/');
     }
     const query = { service: SERVICE, model: undefined, homeRegions: [], exclude: NO_HOSTS };
     for (let request = 0; request < 20; request++) {
@@ -237,12 +240,12 @@
     const chooser = new TargetChooser(registryOf(['late', 'busy']), activities, {
       failureDomain: 'a',
       eligibility: () => 'eligible',
-      othersAt: id => (id === 'busy' ? 17 : 10),
+      peerRequestsAt: id => (id === 'busy' ? 17 : 10),
     });
     for (let request = 0; request < 20; request++) {
-      activities.noteFirst('elsewhere', 300, 's/');
+      activities.noteFirstResponse('elsewhere', 300, 's/');
     }
-    activities.noteFirst('late', 600, 's/');
+    activities.noteFirstResponse('late', 600, 's/');
     const query = { service: SERVICE, model: undefined, homeRegions: [], exclude: NO_HOSTS };
     const chosenHosts = Array.from({ length: 20 }, () => chooser.choose(query)?.host.id);
     expect(chosenHosts.filter(id => id === 'late').length).to.be.greaterThan(15);
@@ -253,7 +256,7 @@
     const chooser = new TargetChooser(registry, new HostActivities(), {
       failureDomain: 'a',
       eligibility: () => 'eligible',
-      othersAt: () => 0,
+      peerRequestsAt: () => 0,
     });
     let lists = 0;
     const ofService = registry.ofService.bind(registry);
@@ -304,7 +307,7 @@
     return new TargetChooser(registryOf(names), activities, {
       failureDomain: 'a',
       eligibility: ({ id }) => (draining.has(id) ? 'draining' : 'eligible'),
-      othersAt: id => loads.get(id) ?? 0,
+      peerRequestsAt: id => loads.get(id) ?? 0,
       outlier: ({ host }) =>
         unreachable.has(host.id) ? { reporters: 3, isUnreachable: true } : undefined,
       subsets: new SubsetChoice({
--- a/packages/entry/src/routing/target-chooser.ts
+++ b/packages/entry/src/routing/target-chooser.ts
@@ -1,7 +1,7 @@
 /** Chooses the target of a request: the head of a replica group, or a host of a plain service. */
 import type { Service } from '../configuration/serving-configuration.js';
 import type { ReplicaGroup } from '../groups/replica-groups.js';
-import { headState, replicaGroups } from '../groups/replica-groups.js';
+import { collectReplicaGroups, headState } from '../groups/replica-groups.js';
 import type { HostEntry } from '../hosts/host-entry.js';
 import { incarnationOf } from '../hosts/host-entry.js';
 import type { HostRegistry } from '../hosts/host-registry.js';
@@ -10,13 +10,13 @@
 import type { Eligibility, HomeRegions } from './eligibility.js';
 import { isPaced } from './eligibility.js';
 import type { HostActivities } from './host-activity.js';
-import { kindOf } from './host-activity.js';
+import { requestKind } from './host-activity.js';
 import type { OutlierVerdict } from './outlier-reports.js';
 import type { SubsetChoice } from './subset-choice.js';
-import type { TargetOutlook } from './target-outlook.js';
-import { formingMs } from './target-outlook.js';
-import { sampleOf, withoutOutliers } from './target-sample.js';
-import type { TargetStanding } from './target-standings.js';
+import type { TargetAvailability } from './target-availability.js';
+import { formingMs } from './target-availability.js';
+import { randomSample, withoutOutliers } from './target-sample.js';
+import type { TargetStatus } from './target-status.js';
 
 /** A host that a request may be sent to. */
 export type Target = {
@@ -35,7 +35,7 @@
   /** Home regions that restrict where the request may be sent. */
   readonly homeRegions: HomeRegions;
   /** True to skip limited hosts (cold, or with a rate limit), because other requests have waited longer for them. */
-  readonly leavesPaced?: boolean;
+  readonly skipsLimitedHosts?: boolean;
 };
 
 /** A host that serves the request's service and model, with its eligibility for the request. */
@@ -53,7 +53,7 @@
   /** When requests may be sent to a limited host; undefined where none may be, and for a host without limits. */
   readonly paceOf?: (host: HostEntry, now: number) => SendPace | undefined;
   /** True if this entry host owns a share of the rate limit that the host has reported; left out: no host has one. */
-  readonly ownsShare?: (host: HostEntry, now: number) => boolean;
+  readonly ownsRateShare?: (host: HostEntry, now: number) => boolean;
   /** Milliseconds until a limited host accepts a request from any entry host; left out: 0. */
   readonly placeInMs?: (host: HostEntry, now: number) => number;
 };
@@ -63,7 +63,7 @@
   /** Failure domain of this entry host. */
   readonly failureDomain: string;
   /** Number of requests that peers have in progress at a host, as last reported. */
-  readonly othersAt: (hostId: string) => number;
+  readonly peerRequestsAt: (hostId: string) => number;
   /** True if the group has lost a member (see `lacking-groups.ts`). */
   readonly lacksMember?: (group: ReplicaGroup) => boolean;
   /** Verdict of the outlier reports on the target, undefined without one; `now` in monotonic milliseconds. */
@@ -126,14 +126,14 @@
       this.#options.outlier?.(target, now),
     );
     const { service, model } = query;
-    const typicalMs = this.#activities.typicalFirstMs(kindOf(service.name, model));
+    const typicalMs = this.#activities.typicalFirstMs(requestKind(service.name, model));
     const preferred = this.#subsetAmong(query, usable, now);
-    const sample = [...sampleOf(preferred, SAMPLE_SIZE), ...this.#withOwnedShare(usable, now)];
+    const sample = [...randomSample(preferred, SAMPLE_SIZE), ...this.#withOwnedShare(usable, now)];
     const best = this.#cheapest(sample, typicalMs, now);
     if (preferred.length === usable.length || best === undefined) {
       return best?.target;
     }
-    const outside = sampleOf(without(usable, preferred), 1);
+    const outside = randomSample(without(usable, preferred), 1);
     const cheapestOutside = this.#cheapest(outside, typicalMs, now);
     const isOutsideCheaper =
       cheapestOutside !== undefined && best.cost > MAX_COST_RATIO_TO_OUTSIDE * cheapestOutside.cost;
@@ -142,7 +142,7 @@
   }
 
   /** True if a healthy and eligible target exists besides the excluded ones. */
-  hasSound(query: TargetQuery): boolean {
+  hasHealthyTarget(query: TargetQuery): boolean {
     const now = monotonicMs();
     return this.#eligible(query, now).some(
       target => !isExcluded(target.host, query) && this.#isHealthy(target, now),
@@ -181,7 +181,7 @@
   }
 
   /** Returns why a request has no target, and when one could become available. */
-  outlook(query: TargetQuery): TargetOutlook {
+  availability(query: TargetQuery): TargetAvailability {
     const now = monotonicMs();
     const { service, model } = query;
     const verdictOf = (host: HostEntry): Eligibility => this.#verdict(host, query, now);
@@ -189,14 +189,14 @@
       host,
       verdict: verdictOf(host),
     }));
-    const statuses = verdicts.map(({ host, verdict }): TargetStanding =>
+    const statuses = verdicts.map(({ host, verdict }): TargetStatus =>
       isExcluded(host, query) ? 'tried' : verdict,
     );
     const mayReceive = (head: HostEntry): boolean => isEligibleOrPaced(verdictOf(head));
     const { engine } = service;
     const groups = engine === undefined ? [] : this.groupsOf(service.name);
     return {
-      standings: statuses,
+      statuses: statuses,
       formingMs: engine === undefined ? undefined : formingMs(groups, engine, model, mayReceive),
       backoffMs: this.#backoffMs(verdicts, now),
     };
@@ -251,7 +251,7 @@
     this.#clearStaleCaches();
     let groups = this.#groups.get(service);
     if (groups === undefined) {
-      groups = replicaGroups(this.#registry.ofService(service));
+      groups = collectReplicaGroups(this.#registry.ofService(service));
       this.#groups.set(service, groups);
     }
     return groups;
@@ -272,7 +272,11 @@
   }
 
   // The allowances of limited hosts go first to the requests that have waited for them.
-  #verdict(host: HostEntry, { homeRegions, leavesPaced }: TargetQuery, now: number): Eligibility {
+  #verdict(
+    host: HostEntry,
+    { homeRegions, skipsLimitedHosts: leavesPaced }: TargetQuery,
+    now: number,
+  ): Eligibility {
     const { eligibility, paceOf } = this.#options;
     const verdict = eligibility(host, homeRegions, now);
     const skipsPaced = leavesPaced === true && verdict === 'eligible';
@@ -334,7 +338,7 @@
 
   // Hosts with a rate limit are eligible rarely and at few entry hosts: an unused allowance is lost for all of them.
   #withOwnedShare(eligible: readonly Target[], now: number): readonly Target[] {
-    return eligible.filter(({ host }) => this.#options.ownsShare?.(host, now) === true);
+    return eligible.filter(({ host }) => this.#options.ownsRateShare?.(host, now) === true);
   }
 
   #cheapest(
@@ -369,11 +373,11 @@
     const activity = this.#activities.of(host.id);
     const usualMs = typicalMs ?? DEFAULT_FIRST_EVENT_MS;
     const first = this.#activities.expectedFirstMs(host.id, usualMs, now);
-    const queue = 1 + QUEUE_WEIGHT * (activity.inFlight + this.#options.othersAt(host.id));
+    const queue = 1 + QUEUE_WEIGHT * (activity.inFlight + this.#options.peerRequestsAt(host.id));
     const remote = host.failureDomain === this.#options.failureDomain ? 1 : REMOTE_DOMAIN_FACTOR;
     const unconnected = this.#options.subsets?.isConnected(host) === false;
     const connection = unconnected ? UNCONNECTED_FACTOR : 1;
-    const share = this.#options.ownsShare?.(host, now) === true ? OWNED_SHARE_FACTOR : 1;
+    const share = this.#options.ownsRateShare?.(host, now) === true ? OWNED_SHARE_FACTOR : 1;
     return first * queue * remote * connection * share * (1 + MAX_RANDOM_INCREASE * Math.random());
   }
 }
--- a/packages/entry/src/routing/host-subset.test.ts
+++ b/packages/entry/src/routing/target-ranking.test.ts
@@ -2,7 +2,7 @@
 import { expect } from 'chai';
 import fc from 'fast-check';
 
-import { HostSubset } from './host-subset.js';
+import { TargetRanking } from './target-ranking.js';
 
 /** Entry hosts, targets, and the size of each subset. */
 type Case = { members: string[]; targets: string[]; size: number };
@@ -25,7 +25,7 @@
 
 function subsetsOf({ members, targets, size }: Case): Subsets {
   const subsetOf = (member: string): ReadonlySet<string> =>
-    new Set(new HostSubset(member, members).order(targets).slice(0, size));
+    new Set(new TargetRanking(member, members).order(targets).slice(0, size));
   return new Map(members.map(member => [member, subsetOf(member)]));
 }
 
@@ -49,7 +49,7 @@
   it('contains each target once, also for an entry host that is not registered', () => {
     fc.assert(
       fc.property(anyCase, fc.boolean(), ({ members, targets }, hasNoMembers) => {
-        const order = new HostSubset('newcomer', hasNoMembers ? [] : members).order(targets);
+        const order = new TargetRanking('newcomer', hasNoMembers ? [] : members).order(targets);
         expect([...order].sort()).to.deep.equal([...targets].sort());
       }),
     );
@@ -59,8 +59,10 @@
     fc.assert(
       fc.property(anyCase, ({ members, targets }) => {
         const [self = ''] = members;
-        const order = new HostSubset(self, members).order(targets);
-        const reversed = new HostSubset(self, [...members].reverse()).order([...targets].reverse());
+        const order = new TargetRanking(self, members).order(targets);
+        const reversed = new TargetRanking(self, [...members].reverse()).order(
+          [...targets].reverse(),
+        );
         expect(reversed).to.deep.equal(order);
       }),
     );
--- a/packages/entry/src/routing/host-subset.ts
+++ b/packages/entry/src/routing/target-ranking.ts
@@ -34,7 +34,7 @@
 const FULL_PENALTY = 2 ** 33;
 
 /** Ranks targets for one entry host, with a fixed list of members. */
-export class HostSubset {
+export class TargetRanking {
   readonly #members: readonly string[];
   readonly #selfIndex: number;
   /** By target, the weight of each member, in the order of `#members`. */
--- a/packages/entry/src/routing/target-sample.ts
+++ b/packages/entry/src/routing/target-sample.ts
@@ -37,7 +37,7 @@
 }
 
 /** Returns a uniform random sample of `count` targets, or all targets if there are no more than that. */
-export function sampleOf<T>(targets: readonly T[], count: number): readonly T[] {
+export function randomSample<T>(targets: readonly T[], count: number): readonly T[] {
   if (targets.length <= count) {
     return targets;
   }
--- a/packages/entry/src/routing/target-standings.test.ts
+++ b/packages/entry/src/routing/target-status.test.ts
@@ -4,16 +4,16 @@
 import type { HostEntry, MembershipState } from '../hosts/host-entry.js';
 import { HostRegistry } from '../hosts/host-registry.js';
 import { silentLog } from '../server/log.js';
-import { readTestHost, testHost } from '../testing/groups.js';
+import { testHost, testHostReading } from '../testing/groups.js';
 import { HostActivities } from './host-activity.js';
 import { TargetChooser } from './target-chooser.js';
-import { describeStandings } from './target-standings.js';
+import { describeStatuses } from './target-status.js';
 
 describe('status of the targets of a request', () => {
   it('is formatted as the number of targets by status', () => {
     const statuses = ['tried', 'tried', 'draining', 'evacuated', 'evacuated'] as const;
-    expect(describeStandings(statuses)).to.equal('tried:2,draining:1,evacuated:2');
-    expect(describeStandings([])).to.equal('');
+    expect(describeStatuses(statuses)).to.equal('tried:2,draining:1,evacuated:2');
+    expect(describeStatuses([])).to.equal('');
   });
 });
 
@@ -33,13 +33,16 @@
   }
 
   function chooserOf(...hosts: readonly HostEntry[]): TargetChooser {
-    const registry = new HostRegistry((_, value) => readTestHost(value as HostEntry), silentLog());
+    const registry = new HostRegistry(
+      (_, value) => testHostReading(value as HostEntry),
+      silentLog(),
+    );
     const objects = hosts.map(value => ({ name: value.id, revision: 1, value }));
-    registry.takeList({ objects, revision: 1 });
+    registry.applyList({ objects, revision: 1 });
     return new TargetChooser(registry, new HostActivities(), {
       failureDomain: 'a',
       eligibility: host => (host.failureDomain === 'evacuated-domain' ? 'evacuated' : 'eligible'),
-      othersAt: () => 0,
+      peerRequestsAt: () => 0,
     });
   }
 
@@ -47,8 +50,8 @@
 
   it('returns the status of each open group, including the ones already tried', () => {
     const chooser = chooserOf(head('tried', 'b', 'open'), head('h', 'evacuated-domain', 'open'));
-    expect(chooser.outlook(query)).to.deep.equal({
-      standings: ['tried', 'evacuated'],
+    expect(chooser.availability(query)).to.deep.equal({
+      statuses: ['tried', 'evacuated'],
       formingMs: undefined,
       backoffMs: undefined,
     });
@@ -60,12 +63,12 @@
       head('y', 'b', 'joining'),
       head('z', 'b', 'ready'),
     ];
-    const { standings, formingMs } = chooserOf(...hosts).outlook(query);
+    const { statuses: standings, formingMs } = chooserOf(...hosts).availability(query);
     expect(standings).to.deep.equal([]);
     expect(formingMs).to.be.within(1, 1_000);
     const [evacuatedHead] = hosts;
-    expect(chooserOf(evacuatedHead as HostEntry).outlook(query).formingMs).to.equal(undefined);
-    const another = chooserOf(...hosts).outlook({ ...query, model: 'another' });
+    expect(chooserOf(evacuatedHead as HostEntry).availability(query).formingMs).to.equal(undefined);
+    const another = chooserOf(...hosts).availability({ ...query, model: 'another' });
     expect(another.formingMs).to.equal(undefined);
   });
 });
--- a/packages/entry/src/server/failure-series.test.ts
+++ b/packages/entry/src/server/failure-series.test.ts
@@ -10,12 +10,12 @@
       lines.push({ message, fields });
     };
     const series = new FailureSeries({ info: write, warn: write, error: write }, 'renew the lease');
-    series.succeeded();
+    series.recordSuccess();
     for (let failure = 0; failure < 50; failure++) {
-      series.failed(new Error('store is down'));
+      series.recordFailure(new Error('store is down'));
     }
-    series.succeeded();
-    series.succeeded();
+    series.recordSuccess();
+    series.recordSuccess();
     expect(lines).to.deep.equal([
       {
         message: 'action fails',
--- a/packages/entry/src/server/failure-series.ts
+++ b/packages/entry/src/server/failure-series.ts
@@ -14,7 +14,7 @@
   }
 
   /** Records a failure of the action; `error` is the value that it threw. */
-  failed(error: unknown): void {
+  recordFailure(error: unknown): void {
     this.#failures += 1;
     if (this.#failures === 1) {
       this.#log.warn('action fails', { action: this.#action, cause: String(error) });
@@ -22,7 +22,7 @@
   }
 
   /** Records a success of the action, which ends the series. */
-  succeeded(): void {
+  recordSuccess(): void {
     if (this.#failures > 0) {
       this.#log.info('action succeeds again', { action: this.#action, failures: this.#failures });
       this.#failures = 0;
--- a/packages/entry/src/server/metrics.ts
+++ b/packages/entry/src/server/metrics.ts
@@ -33,7 +33,7 @@
   readonly #readers = new Map<string, () => readonly GaugeReading[]>();
 
   /** Registers a gauge that serves the result of `read`; the prefix `hingescale_` is added to the name. */
-  follow(name: string, read: () => readonly GaugeReading[]): void {
+  register(name: string, read: () => readonly GaugeReading[]): void {
     this.#readers.set(name, read);
   }
 
@@ -53,7 +53,7 @@
 };
 
 /** Creates empty metrics. */
-export function newMetrics(): Metrics {
+export function createMetrics(): Metrics {
   return { counters: new Counters(), gauges: new Gauges(), latencies: new Latencies() };
 }
 
--- a/packages/entry/src/server/side-servers.ts
+++ b/packages/entry/src/server/side-servers.ts
@@ -8,16 +8,16 @@
 import { metricsText } from './metrics.js';
 
 /** Sources of the data that the side servers return. */
-export type SideOffer = {
+export type SideServerSources = {
   readonly isReady: () => boolean;
   readonly metrics: Metrics;
-  readonly lists: SideLists;
+  readonly lists: OperatorLists;
 };
 
 /** Starts the readiness server and, if the settings contain an address for it, the metrics server. */
 export async function startSideServers(
   { readiness, metrics }: Pick<EntrySettings, 'readiness' | 'metrics'>,
-  offer: SideOffer,
+  offer: SideServerSources,
 ): Promise<readonly Server[]> {
   const readinessServer = await serveReadiness(readiness.ip, readiness.port, offer.isReady);
   if (metrics === undefined) {
@@ -42,14 +42,14 @@
 }
 
 /** Functions that return the lists served as JSON beside the metrics, by URL path. */
-export type SideLists = Readonly<Record<string, () => unknown>>;
+export type OperatorLists = Readonly<Record<string, () => unknown>>;
 
 /** Serves all metrics in the Prometheus text format, and the lists for operators as JSON. */
 async function serveMetrics(
   ip: string,
   port: number,
   metrics: Metrics,
-  lists: SideLists,
+  lists: OperatorLists,
 ): Promise<Server> {
   const server = createServer((request, response) => {
     request.resume();
--- a/packages/entry/src/slow-start/cold-hosts.test.ts
+++ b/packages/entry/src/slow-start/cold-hosts.test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai';
 
 import type { HostEntry } from '../hosts/host-entry.js';
-import type { TakenEntry } from '../hosts/host-registry.js';
+import type { AppliedEntry } from '../hosts/host-registry.js';
 import type { Log } from '../server/log.js';
 import { silentLog } from '../server/log.js';
 import { testHost } from '../testing/groups.js';
@@ -24,7 +24,7 @@
     });
   }
 
-  function taken(entry: HostEntry, standing: TakenEntry['standing']): TakenEntry {
+  function taken(entry: HostEntry, standing: AppliedEntry['standing']): AppliedEntry {
     revision += 1;
     return { entry, revision, standing };
   }
@@ -40,9 +40,9 @@
   it('are cold for as long as their entry says, from when it was received', () => {
     const hosts = coldHosts();
     const host = testHost('x', { coldLeftMs: 2_000 });
-    hosts.take({ taken: [taken(host, 'new')], departed: [] }, 100);
-    expect(hosts.spellOf(host, 2_099)).to.deep.equal({ since: 100, until: 2_100 });
-    expect(hosts.spellOf(host, 2_100)).to.equal(undefined);
+    hosts.applyBatch({ applied: [taken(host, 'new')], departed: [] }, 100);
+    expect(hosts.coldPeriodOf(host, 2_099)).to.deep.equal({ since: 100, until: 2_100 });
+    expect(hosts.coldPeriodOf(host, 2_100)).to.equal(undefined);
     expect(hosts.count(200)).to.equal(1);
     expect(hosts.count(2_100)).to.equal(0);
   });
@@ -50,106 +50,109 @@
   it('follow each later entry, also one that makes a warm host cold again', () => {
     const hosts = coldHosts();
     const host = testHost('x', { coldLeftMs: 3_000 });
-    hosts.take({ taken: [taken(host, 'new')], departed: [] }, 0);
+    hosts.applyBatch({ applied: [taken(host, 'new')], departed: [] }, 0);
     const later = testHost('x', { coldLeftMs: 2_500 });
-    hosts.take({ taken: [taken(later, 'known')], departed: [] }, 1_000);
-    expect(hosts.spellOf(later, 1_500)).to.deep.equal({ since: 0, until: 3_500 });
+    hosts.applyBatch({ applied: [taken(later, 'known')], departed: [] }, 1_000);
+    expect(hosts.coldPeriodOf(later, 1_500)).to.deep.equal({ since: 0, until: 3_500 });
     const warm = testHost('x');
-    hosts.take({ taken: [taken(warm, 'known')], departed: [] }, 2_000);
-    expect(hosts.spellOf(warm, 2_001)).to.equal(undefined);
+    hosts.applyBatch({ applied: [taken(warm, 'known')], departed: [] }, 2_000);
+    expect(hosts.coldPeriodOf(warm, 2_001)).to.equal(undefined);
     const again = testHost('x', { coldLeftMs: 1_000 });
-    hosts.take({ taken: [taken(again, 'known')], departed: [] }, 9_000);
-    expect(hosts.spellOf(again, 9_500)).to.deep.equal({ since: 9_000, until: 10_000 });
+    hosts.applyBatch({ applied: [taken(again, 'known')], departed: [] }, 9_000);
+    expect(hosts.coldPeriodOf(again, 9_500)).to.deep.equal({ since: 9_000, until: 10_000 });
   });
 
   it('are none among the hosts of the first list, nor where hosts are added and removed one by one', () => {
     const hosts = coldHosts();
     const firstHosts = ['a', 'b', 'c'].map(id => testHost(id));
-    hosts.take({ taken: firstHosts.map(entry => taken(entry, 'first')), departed: [] }, 0);
+    hosts.applyBatch({ applied: firstHosts.map(entry => taken(entry, 'first')), departed: [] }, 0);
     const next = testHost('d');
-    hosts.take({ taken: [taken(next, 'new')], departed: firstHosts.slice(0, 1) }, 50);
+    hosts.applyBatch({ applied: [taken(next, 'new')], departed: firstHosts.slice(0, 1) }, 50);
     expect(hosts.count(60)).to.equal(0);
   });
 
   it('are none in a service that takes its full rate from the start', () => {
     const hosts = coldHosts();
     const host = testHost('x', { service: 'plain', coldLeftMs: 5_000 });
-    hosts.take({ taken: [taken(host, 'new')], departed: [] }, 0);
-    hosts.evacuationEnded('a', 99, 0);
-    expect(hosts.spellOf(host, 1)).to.equal(undefined);
+    hosts.applyBatch({ applied: [taken(host, 'new')], departed: [] }, 0);
+    hosts.noteEvacuationEnd('a', 99, 0);
+    expect(hosts.coldPeriodOf(host, 1)).to.equal(undefined);
   });
 
   it('are those of a failure domain that was empty before, until their next entry', () => {
     const hosts = coldHosts();
     const old = testHost('old');
-    hosts.take({ taken: [taken(old, 'first')], departed: [] }, 0);
-    hosts.take({ taken: [], departed: [old] }, 1_000);
+    hosts.applyBatch({ applied: [taken(old, 'first')], departed: [] }, 0);
+    hosts.applyBatch({ applied: [], departed: [old] }, 1_000);
     const [one, two] = [testHost('one'), testHost('two')];
-    hosts.take({ taken: [taken(one, 'new')], departed: [] }, 20_000);
-    hosts.take({ taken: [taken(two, 'new')], departed: [] }, 21_000);
-    expect(hosts.spellOf(one, 20_001)).to.deep.equal({ since: 20_000, until: 20_000 + ASSUMED_MS });
-    expect(hosts.spellOf(two, 21_001)?.until).to.equal(21_000 + ASSUMED_MS);
-    hosts.take({ taken: [taken(testHost('one'), 'known')], departed: [] }, 22_000);
-    expect(hosts.spellOf(one, 22_001)).to.equal(undefined);
+    hosts.applyBatch({ applied: [taken(one, 'new')], departed: [] }, 20_000);
+    hosts.applyBatch({ applied: [taken(two, 'new')], departed: [] }, 21_000);
+    expect(hosts.coldPeriodOf(one, 20_001)).to.deep.equal({
+      since: 20_000,
+      until: 20_000 + ASSUMED_MS,
+    });
+    expect(hosts.coldPeriodOf(two, 21_001)?.until).to.equal(21_000 + ASSUMED_MS);
+    hosts.applyBatch({ applied: [taken(testHost('one'), 'known')], departed: [] }, 22_000);
+    expect(hosts.coldPeriodOf(one, 22_001)).to.equal(undefined);
     const late = testHost('late');
-    hosts.take({ taken: [taken(late, 'new')], departed: [] }, 20_001 + ASSUMED_MS);
-    expect(hosts.spellOf(late, 20_002 + ASSUMED_MS)).to.equal(undefined);
+    hosts.applyBatch({ applied: [taken(late, 'new')], departed: [] }, 20_001 + ASSUMED_MS);
+    expect(hosts.coldPeriodOf(late, 20_002 + ASSUMED_MS)).to.equal(undefined);
   });
 
   it('are none where another group is formed and only the heads of groups are received', () => {
     const hosts = coldHosts();
     const membership = { group: 'g', epoch: 1, rank: 0, state: 'open' } as const;
     const [old, next] = [testHost('old', { membership }), testHost('next', { membership })];
-    hosts.take({ taken: [taken(old, 'first')], departed: [] }, 0);
-    hosts.take({ taken: [taken(next, 'new')], departed: [old] }, 1_000);
-    expect(hosts.spellOf(next, 1_001)).to.equal(undefined);
+    hosts.applyBatch({ applied: [taken(old, 'first')], departed: [] }, 0);
+    hosts.applyBatch({ applied: [taken(next, 'new')], departed: [old] }, 1_000);
+    expect(hosts.coldPeriodOf(next, 1_001)).to.equal(undefined);
   });
 
   it('are none long after the same hosts were listed again', () => {
     const hosts = coldHosts();
     const host = testHost('x');
-    hosts.take({ taken: [taken(host, 'first')], departed: [] }, 0);
-    hosts.take({ taken: [], departed: [host] }, 1_000);
-    hosts.take({ taken: [taken(host, 'back')], departed: [] }, 2_000);
+    hosts.applyBatch({ applied: [taken(host, 'first')], departed: [] }, 0);
+    hosts.applyBatch({ applied: [], departed: [host] }, 1_000);
+    hosts.applyBatch({ applied: [taken(host, 'back')], departed: [] }, 2_000);
     const late = testHost('late');
-    hosts.take({ taken: [taken(late, 'new')], departed: [] }, 3_600_000);
-    expect(hosts.spellOf(late, 3_600_001)).to.equal(undefined);
+    hosts.applyBatch({ applied: [taken(late, 'new')], departed: [] }, 3_600_000);
+    expect(hosts.coldPeriodOf(late, 3_600_001)).to.equal(undefined);
   });
 
   it('are none where entries expired during an outage of the store and the same hosts are listed again', () => {
     const hosts = coldHosts();
     const host = testHost('x');
-    hosts.take({ taken: [taken(host, 'first')], departed: [] }, 0);
-    hosts.take({ taken: [], departed: [host] }, 1_000);
-    hosts.take({ taken: [taken(host, 'back')], departed: [] }, 5_000);
-    expect(hosts.spellOf(host, 5_001)).to.equal(undefined);
+    hosts.applyBatch({ applied: [taken(host, 'first')], departed: [] }, 0);
+    hosts.applyBatch({ applied: [], departed: [host] }, 1_000);
+    hosts.applyBatch({ applied: [taken(host, 'back')], departed: [] }, 5_000);
+    expect(hosts.coldPeriodOf(host, 5_001)).to.equal(undefined);
   });
 
   it('are those whose evacuation has ended, unless their entry is newer', () => {
     const hosts = coldHosts();
     const host = testHost('x');
-    hosts.take({ taken: [taken(host, 'first')], departed: [] }, 0);
+    hosts.applyBatch({ applied: [taken(host, 'first')], departed: [] }, 0);
     revision += 1;
     const endRevision = revision;
-    hosts.evacuationEnded('a', endRevision, 10_000);
-    expect(hosts.spellOf(host, 10_001)?.until).to.equal(10_000 + ASSUMED_MS);
-    expect(hosts.spellOf(testHost('b', { failureDomain: 'b' }), 10_001)).to.equal(undefined);
-    expect(hosts.spellOf(testHost('not-listed-yet'), 10_001)?.since).to.equal(10_000);
+    hosts.noteEvacuationEnd('a', endRevision, 10_000);
+    expect(hosts.coldPeriodOf(host, 10_001)?.until).to.equal(10_000 + ASSUMED_MS);
+    expect(hosts.coldPeriodOf(testHost('b', { failureDomain: 'b' }), 10_001)).to.equal(undefined);
+    expect(hosts.coldPeriodOf(testHost('not-listed-yet'), 10_001)?.since).to.equal(10_000);
     // Written before the end of the evacuation, but received after it.
     const older = { entry: host, revision: endRevision - 1, standing: 'known' } as const;
-    hosts.take({ taken: [older], departed: [] }, 10_100);
-    expect(hosts.spellOf(host, 10_101)).to.not.equal(undefined);
-    hosts.take({ taken: [taken(host, 'known')], departed: [] }, 10_200);
-    expect(hosts.spellOf(host, 10_201)).to.equal(undefined);
+    hosts.applyBatch({ applied: [older], departed: [] }, 10_100);
+    expect(hosts.coldPeriodOf(host, 10_101)).to.not.equal(undefined);
+    hosts.applyBatch({ applied: [taken(host, 'known')], departed: [] }, 10_200);
+    expect(hosts.coldPeriodOf(host, 10_201)).to.equal(undefined);
   });
 
   it('are logged where a failure domain is filled again and its entries do not say that hosts are cold', () => {
     const lines: string[] = [];
     const hosts = coldHosts(logTo(lines));
     const old = testHost('old');
-    hosts.take({ taken: [taken(old, 'first')], departed: [] }, 0);
-    hosts.take({ taken: [], departed: [old] }, 1_000);
-    hosts.take({ taken: [taken(testHost('new'), 'new')], departed: [] }, 9_000);
+    hosts.applyBatch({ applied: [taken(old, 'first')], departed: [] }, 0);
+    hosts.applyBatch({ applied: [], departed: [old] }, 1_000);
+    hosts.applyBatch({ applied: [taken(testHost('new'), 'new')], departed: [] }, 9_000);
     expect(lines).to.have.length(1);
   });
 
@@ -160,8 +163,8 @@
       testHost(`x${index}`, { coldLeftMs: 3_000 }),
     );
     for (const [index, entry] of domainHosts.entries()) {
-      hosts.take({ taken: [taken(entry, 'new')], departed: [] }, 10 * index);
-      hosts.take({ taken: [taken(entry, 'known')], departed: [] }, 1_000 + 10 * index);
+      hosts.applyBatch({ applied: [taken(entry, 'new')], departed: [] }, 10 * index);
+      hosts.applyBatch({ applied: [taken(entry, 'known')], departed: [] }, 1_000 + 10 * index);
     }
     expect(lines).to.have.length(1);
     expect(lines[0]).to.contain('cold hosts arrived').and.to.contain('"failureDomain":"a"');
--- a/packages/entry/src/slow-start/cold-hosts.ts
+++ b/packages/entry/src/slow-start/cold-hosts.ts
@@ -11,11 +11,11 @@
 
 import type { SlowStart } from '../configuration/serving-configuration.js';
 import type { HostEntry } from '../hosts/host-entry.js';
-import type { HostBatch, TakenEntry } from '../hosts/host-registry.js';
+import type { AppliedEntry, HostBatch } from '../hosts/host-registry.js';
 import type { Log } from '../server/log.js';
 
 /** A period in which a host counts as cold, in monotonic milliseconds. */
-export type ColdSpell = {
+export type ColdPeriod = {
   /** When the host first counted as cold in this process. */
   readonly since: number;
   readonly until: number;
@@ -27,7 +27,7 @@
   /** Revision of the store at which the entry was written. */
   readonly revision: number;
   /** The cold period that the entry announces. */
-  readonly announced: ColdSpell | undefined;
+  readonly announced: ColdPeriod | undefined;
   /** When the host was added to a failure domain that had been empty; cleared by its next entry. */
   readonly returnedAt: number | undefined;
 };
@@ -64,7 +64,7 @@
   }
 
   /** Applies the changes of one answer of the store or a peer; `now` in monotonic milliseconds. */
-  take({ taken, departed }: HostBatch, now: number): void {
+  applyBatch({ applied: taken, departed }: HostBatch, now: number): void {
     departed.forEach(entry => {
       this.#removeHost(entry);
     });
@@ -73,12 +73,12 @@
   }
 
   /** Records that an evacuation ended at a revision of the store; its hosts may have become cold in the meantime. */
-  evacuationEnded(failureDomain: string, revision: number, now: number): void {
+  noteEvacuationEnd(failureDomain: string, revision: number, now: number): void {
     this.#evacuationEnds.set(failureDomain, { at: now, revision });
   }
 
   /** The period in which the host counts as cold; undefined for a warm host. */
-  spellOf(host: HostEntry, now: number): ColdSpell | undefined {
+  coldPeriodOf(host: HostEntry, now: number): ColdPeriod | undefined {
     const slowStart = this.#options.slowStartOf(host.service);
     if (slowStart === undefined) {
       return undefined;
@@ -101,11 +101,11 @@
   /** Number of hosts that count as cold now. */
   count(now: number): number {
     const hosts = [...this.#hosts.values()];
-    return hosts.filter(({ entry }) => this.spellOf(entry, now) !== undefined).length;
+    return hosts.filter(({ entry }) => this.coldPeriodOf(entry, now) !== undefined).length;
   }
 
   // True when the entry starts a cold period of its host.
-  #applyEntry({ entry, revision, standing }: TakenEntry, now: number): boolean {
+  #applyEntry({ entry, revision, standing }: AppliedEntry, now: number): boolean {
     const previous = this.#hosts.get(entry.id);
     if (previous === undefined) {
       const key = domainKey(entry);
@@ -164,7 +164,7 @@
   }
 
   // The longest period for which a host may be cold whose entry does not say so yet.
-  #assumedPeriod(since: number | undefined, { coldMs }: SlowStart): ColdSpell | undefined {
+  #assumedPeriod(since: number | undefined, { coldMs }: SlowStart): ColdPeriod | undefined {
     if (since === undefined) {
       return undefined;
     }
@@ -173,7 +173,7 @@
 
   // Logs one line for each service and failure domain: its entries arrive in several answers, the first of which is
   // logged.
-  #logCold(cold: readonly TakenEntry[], now: number): void {
+  #logCold(cold: readonly AppliedEntry[], now: number): void {
     for (const { entry } of cold) {
       const { id, service, failureDomain } = entry;
       const slowStart = this.#options.slowStartOf(service);
@@ -200,9 +200,9 @@
 // A host that is cold already keeps the start of its period, so that its allowance does not start over.
 function announcedPeriod(
   { coldLeftMs }: HostEntry,
-  previous: ColdSpell | undefined,
+  previous: ColdPeriod | undefined,
   now: number,
-): ColdSpell | undefined {
+): ColdPeriod | undefined {
   if (coldLeftMs <= 0) {
     return undefined;
   }
@@ -212,10 +212,10 @@
 
 // Whichever of the periods ends later; `b` is disregarded once it has ended.
 function laterEnding(
-  a: ColdSpell | undefined,
-  b: ColdSpell | undefined,
+  a: ColdPeriod | undefined,
+  b: ColdPeriod | undefined,
   now: number,
-): ColdSpell | undefined {
+): ColdPeriod | undefined {
   if (b === undefined || b.until <= now) {
     return a;
   }
--- a/packages/entry/src/slow-start/cold-sends.test.ts
+++ b/packages/entry/src/slow-start/cold-sends.test.ts
@@ -5,11 +5,11 @@
 import { topMembers } from '../routing/rendezvous.js';
 import { Counters } from '../server/metrics.js';
 import { testHost } from '../testing/groups.js';
-import type { ColdSpell } from './cold-hosts.js';
+import type { ColdPeriod } from './cold-hosts.js';
 import { ColdSends } from './cold-sends.js';
 
 const HOST = testHost('cold');
-const UNLIMITED_PERIOD: ColdSpell = { since: 1_000, until: Infinity };
+const UNLIMITED_PERIOD: ColdPeriod = { since: 1_000, until: Infinity };
 const NAMES = Array.from({ length: 90 }, (_, index) => `entry-${index}`);
 const [OWNER = ''] = topMembers(NAMES, HOST.id, 1);
 const INTERVAL_MS = 1_050;
@@ -18,7 +18,7 @@
 type TestOptions = {
   readonly self?: string;
   readonly view?: () => MemberView | undefined;
-  readonly coldPeriod?: ColdSpell | undefined;
+  readonly coldPeriod?: ColdPeriod | undefined;
   readonly hasSlowStart?: boolean;
 };
 
@@ -33,7 +33,7 @@
   const sends = new ColdSends({
     self,
     members: 'view' in options ? options.view : () => SETTLED,
-    spellOf: () => ('coldPeriod' in options ? options.coldPeriod : UNLIMITED_PERIOD),
+    coldPeriodOf: () => ('coldPeriod' in options ? options.coldPeriod : UNLIMITED_PERIOD),
     slowStartOf: () => (hasSlowStart ? { requestsPerSecond: 14, coldMs: 3_000 } : undefined),
     bounds: () => ({ coldOvershoot: 1.5, coldSlack: 5 }),
     counters,
@@ -96,7 +96,7 @@
   });
 
   it('start with a new interval in each cold period of a host', () => {
-    let coldPeriod: ColdSpell = { since: 1_000, until: 4_000 };
+    let coldPeriod: ColdPeriod = { since: 1_000, until: 4_000 };
     const { sends } = coldSends({
       get coldPeriod() {
         return coldPeriod;
--- a/packages/entry/src/slow-start/cold-sends.ts
+++ b/packages/entry/src/slow-start/cold-sends.ts
@@ -5,7 +5,7 @@
 import { PacedSends } from '../rate-limits/paced-sends.js';
 import type { RateLimit } from '../rate-limits/rate-share.js';
 import type { Counters } from '../server/metrics.js';
-import type { ColdSpell } from './cold-hosts.js';
+import type { ColdPeriod } from './cold-hosts.js';
 
 /** Bound on the requests that a cold host receives from all entry hosts together, in any one second. */
 export type ColdBounds = {
@@ -18,7 +18,7 @@
 /** Options of {@link ColdSends}. */
 export type ColdSendsOptions = Pick<PacedSendsOptions, 'self' | 'members'> & {
   /** The period in which a host counts as cold; undefined for a warm host. */
-  readonly spellOf: (host: HostEntry, now: number) => ColdSpell | undefined;
+  readonly coldPeriodOf: (host: HostEntry, now: number) => ColdPeriod | undefined;
   /** Slow start of a service; undefined where its hosts take their full rate from the start. */
   readonly slowStartOf: (service: string) => SlowStart | undefined;
   readonly bounds: () => ColdBounds;
@@ -30,21 +30,28 @@
 
 /** Decides when this entry host may send a request to a cold host. */
 export class ColdSends extends PacedSends {
-  constructor({ self, members, spellOf, slowStartOf, bounds, counters }: ColdSendsOptions) {
+  constructor({
+    self,
+    members,
+    coldPeriodOf: spellOf,
+    slowStartOf,
+    bounds,
+    counters,
+  }: ColdSendsOptions) {
     const boundOf = (host: HostEntry, now: number): SendBound | undefined => {
       const slowStart = slowStartOf(host.service);
       const period = slowStart && spellOf(host, now);
-      return period && { ...period, limit: coldLimit(slowStart.requestsPerSecond, bounds()) };
+      return period && { ...period, limit: coldRateLimit(slowStart.requestsPerSecond, bounds()) };
     };
     const taken = ({ service }: HostEntry): void => {
       counters.count('cold_sends_total', { service });
     };
-    super({ verdict: 'cold-limit', self, members, boundOf, taken });
+    super({ verdict: 'cold-limit', self, members, boundOf, onClaim: taken });
   }
 }
 
 /** Rate limit of one cold host, for the requests of all entry hosts together. */
-export function coldLimit(
+export function coldRateLimit(
   requestsPerSecond: number,
   { coldOvershoot, coldSlack }: ColdBounds,
 ): RateLimit {
--- a/packages/entry/src/slow-start/cold-days.test.ts
+++ b/packages/entry/src/slow-start/cold-simulation.test.ts
@@ -3,8 +3,14 @@
 
 import type { RateLimit } from '../rate-limits/rate-share.js';
 import { TOLERATED_LAG } from '../rate-limits/rate-share.js';
-import type { ColdDay, ColdWay } from '../testing/cold-days.js';
-import { DAY_MS, EQUAL_PARTS, fixedOwners, ownersWay, playColdDay } from '../testing/cold-days.js';
+import type { ColdHostScenario, RateDivision } from '../testing/cold-host-scenarios.js';
+import {
+  divisionByOwners,
+  EQUAL_SHARES,
+  fixedOwners,
+  SCENARIO_MS,
+  simulateColdHosts,
+} from '../testing/cold-host-scenarios.js';
 
 const limitOf = (perWindow: number, mostPerWindow: number): RateLimit => ({
   windowMs: 1_000,
@@ -13,7 +19,7 @@
 });
 const TYPICAL: RateLimit = limitOf(14, 26);
 /** A simulated minute without joins, restarts or other faults. */
-const FAULTLESS: ColdDay = {
+const FAULTLESS: ColdHostScenario = {
   members: 90,
   coldHosts: 3,
   joins: [],
@@ -23,7 +29,7 @@
   demand: 'pressing',
 };
 
-const timeMs = fc.integer({ min: 0, max: DAY_MS });
+const timeMs = fc.integer({ min: 0, max: SCENARIO_MS });
 const restart = fc.record({ atMs: timeMs, part: fc.double({ min: 0.01, max: 1, noNaN: true }) });
 // The second variant: all processes restart together, and again right after their start, as after a power failure.
 const restarts = fc.oneof(
@@ -33,7 +39,7 @@
     .map(restartTimes => restartTimes.map(atMs => ({ atMs, part: 1 }))),
 );
 
-function days(maxJoins: number): fc.Arbitrary<ColdDay> {
+function days(maxJoins: number): fc.Arbitrary<ColdHostScenario> {
   return fc.record({
     members: fc.oneof(fc.integer({ min: 5, max: 30 }), fc.integer({ min: 5, max: 300 })),
     coldHosts: fc.integer({ min: 1, max: 4 }),
@@ -45,21 +51,23 @@
   });
 }
 
-function isWithin(limit: RateLimit, way: ColdWay): (day: ColdDay) => boolean {
-  return day => playColdDay(day, limit, way).mostInSecond <= limit.mostPerWindow;
+function isWithin(limit: RateLimit, way: RateDivision): (day: ColdHostScenario) => boolean {
+  return day => simulateColdHosts(day, limit, way).maxPerSecond <= limit.mostPerWindow;
 }
 
 /**
  * True when a way of dividing the rate exceeds the bound in some simulated minute, among as many as the product's own
  * way has to pass.
  */
-function exceedsBound(way: ColdWay): boolean {
+function exceedsBound(way: RateDivision): boolean {
   return fc.check(fc.property(days(TOLERATED_LAG), isWithin(TYPICAL, way)), { numRuns: 60 }).failed;
 }
 
 describe('cold hosts over a minute', () => {
   it('never receive more than their bound in any second, despite lag, restarts and cut-off entry hosts', () => {
-    fc.assert(fc.property(days(TOLERATED_LAG), isWithin(TYPICAL, ownersWay())), { numRuns: 60 });
+    fc.assert(fc.property(days(TOLERATED_LAG), isWithin(TYPICAL, divisionByOwners())), {
+      numRuns: 60,
+    });
   });
 
   it('never exceed other bounds either', () => {
@@ -72,26 +80,34 @@
     );
     const limitAndDay = fc.tuple(limits, days(2));
     fc.assert(
-      fc.property(limitAndDay, ([limit, day]) => isWithin(limit, ownersWay())(day)),
+      fc.property(limitAndDay, ([limit, day]) => isWithin(limit, divisionByOwners())(day)),
       { numRuns: 60 },
     );
   });
 
   for (const members of [5, 6, 9, 13, 30, 90, 300]) {
     it(`receive most of their rate from ${members} entry hosts that agree and have enough to send`, () => {
-      const { leastRate } = playColdDay({ ...FAULTLESS, members }, TYPICAL, ownersWay());
+      const { minRate: leastRate } = simulateColdHosts(
+        { ...FAULTLESS, members },
+        TYPICAL,
+        divisionByOwners(),
+      );
       // Less than the rate, since the first interval and `MEMBERS_SETTLE_MS` are part of the minute.
-      expect(leastRate).to.be.at.least(0.8 * 14 * ((DAY_MS - 3_000) / DAY_MS));
+      expect(leastRate).to.be.at.least(0.8 * 14 * ((SCENARIO_MS - 3_000) / SCENARIO_MS));
     });
   }
 
   it('would receive too much if an allowance were full at the start of a process', () => {
-    expect(exceedsBound(ownersWay(true))).to.equal(true);
+    expect(exceedsBound(divisionByOwners(true))).to.equal(true);
   });
 
   it('would receive too much if each entry host had an equal share: all may send at the same moment', () => {
-    expect(exceedsBound(EQUAL_PARTS)).to.equal(true);
-    const { mostInSecond } = playColdDay({ ...FAULTLESS, demand: 'bursts' }, TYPICAL, EQUAL_PARTS);
+    expect(exceedsBound(EQUAL_SHARES)).to.equal(true);
+    const { maxPerSecond: mostInSecond } = simulateColdHosts(
+      { ...FAULTLESS, demand: 'bursts' },
+      TYPICAL,
+      EQUAL_SHARES,
+    );
     expect(mostInSecond).to.equal(90);
   });
 
@@ -102,6 +118,6 @@
       fc.property(days(3), day => isWithin(TYPICAL, way)({ ...day, restarts: [] })),
       { numRuns: 60 },
     );
-    expect(playColdDay({ ...FAULTLESS, joins }, TYPICAL, way).leastRate).to.be.within(10, 12);
+    expect(simulateColdHosts({ ...FAULTLESS, joins }, TYPICAL, way).minRate).to.be.within(10, 12);
   });
 });
--- a/packages/entry/src/slow-start/slow-start-limits.ts
+++ b/packages/entry/src/slow-start/slow-start-limits.ts
@@ -10,7 +10,7 @@
 type SlowStartBounds = ReturnType<ColdSendsOptions['bounds']> & { readonly heartbeatMs: number };
 
 /** Options of {@link SlowStartLimits}. */
-export type SlowStartLimitsOptions = Omit<ColdSendsOptions, 'spellOf' | 'bounds'> &
+export type SlowStartLimitsOptions = Omit<ColdSendsOptions, 'coldPeriodOf' | 'bounds'> &
   Pick<ColdHostsOptions, 'log'> & {
     /** Called for each use, since settings may change. */
     readonly bounds: () => SlowStartBounds;
@@ -27,7 +27,7 @@
     this.#hosts = new ColdHosts({ slowStartOf, heartbeatMs: () => bounds().heartbeatMs, log });
     this.sends = new ColdSends({
       ...options,
-      spellOf: (host, now) => this.#hosts.spellOf(host, now),
+      coldPeriodOf: (host, now) => this.#hosts.coldPeriodOf(host, now),
     });
   }
 
@@ -37,12 +37,12 @@
   }
 
   /** Applies the host entries of one answer of the store or a peer. */
-  readonly batchTaken = (batch: HostBatch): void => {
-    this.#hosts.take(batch, monotonicMs());
+  readonly applyBatch = (batch: HostBatch): void => {
+    this.#hosts.applyBatch(batch, monotonicMs());
   };
 
   /** Records that the evacuation of a failure domain ended at a revision of the store. */
-  readonly evacuationEnded = (failureDomain: string, revision: number): void => {
-    this.#hosts.evacuationEnded(failureDomain, revision, monotonicMs());
+  readonly noteEvacuationEnd = (failureDomain: string, revision: number): void => {
+    this.#hosts.noteEvacuationEnd(failureDomain, revision, monotonicMs());
   };
 }
--- a/packages/entry/src/store/followed-kinds.test.ts
+++ b/packages/entry/src/store/followed-kinds.test.ts
@@ -2,8 +2,8 @@
 
 import { elapsedMs } from '../server/elapsed-time.js';
 import { silentLog } from '../server/log.js';
-import { newMetrics } from '../server/metrics.js';
-import { FollowedKinds, KIND_TIMINGS, onlyReader } from './followed-kinds.js';
+import { createMetrics } from '../server/metrics.js';
+import { FollowedKinds, KIND_TIMINGS, singleReader } from './followed-kinds.js';
 import type { KindReader } from './kind-reader.js';
 import { OBJECT_KINDS } from './object-store.js';
 
@@ -21,7 +21,7 @@
   }
 
   it('report the age of the known objects at a send, and count sends based on old objects', async () => {
-    const metrics = newMetrics();
+    const metrics = createMetrics();
     const askedMsAgo = KIND_TIMINGS[OBJECT_KINDS.configuration]?.staleMs ?? 0;
     const reader: KindReader = {
       name: 'peer',
@@ -35,12 +35,12 @@
     };
     const observer = { listed: ignore, changed: ignore, confirmed: ignore };
     const kinds = new FollowedKinds({
-      readers: onlyReader(reader),
+      readers: singleReader(reader),
       observers: { [OBJECT_KINDS.configuration]: observer },
       followsStore: () => false,
       hostsView: () => 'full',
-      peersKnown: () => Promise.resolve(),
-      givesOrders: () => false,
+      whenPeersKnown: () => Promise.resolve(),
+      holdsLease: () => false,
       log: silentLog(),
       metrics,
     });
--- a/packages/entry/src/store/followed-kinds.ts
+++ b/packages/entry/src/store/followed-kinds.ts
@@ -6,29 +6,29 @@
 import type { KindReader, KindView } from './kind-reader.js';
 import type { ObjectKind } from './object-store.js';
 import { OBJECT_KINDS } from './object-store.js';
-import type { KindObserver, ReaderChoice } from './watched-kind.js';
+import type { KindObserver, ReaderSelector } from './watched-kind.js';
 import { RESTORE_MS, WatchedKind } from './watched-kind.js';
 
 /** Options of {@link FollowedKinds}. */
 export type FollowedKindsOptions = {
-  readonly readers: ReaderChoice;
+  readonly readers: ReaderSelector;
   readonly observers: Readonly<Partial<Record<ObjectKind, KindObserver>>>;
   /** True while this host reads from the store itself, not from a peer. */
   readonly followsStore: () => boolean;
   /** Part of the upstream hosts that this host needs. */
   readonly hostsView: () => KindView;
   /** Resolves when the peers, from which hosts and urgent kinds are then read, are known, or after a timeout. */
-  readonly peersKnown: () => Promise<void>;
+  readonly whenPeersKnown: () => Promise<void>;
   /** Reader of the first list of hosts; where absent or undefined, `readers` chooses it. */
   readonly firstReader?: () => KindReader | undefined;
   /** True while this host is the lease holder. */
-  readonly givesOrders: () => boolean;
+  readonly holdsLease: () => boolean;
   readonly log: Log;
   readonly metrics: Metrics;
 };
 
 /** Timing by which a kind is followed; all in milliseconds. */
-export type Timing = {
+export type KindTiming = {
   /** Longest wait of one call to the store. */
   readonly storeWaitMs: number;
   /** Longest wait of one call to a peer. */
@@ -36,7 +36,7 @@
   /** Pause after an answer with changes. */
   readonly pauseMs: number;
   /** The same pause at the lease holder. */
-  readonly giverPauseMs: number;
+  readonly leaseHolderPauseMs: number;
   /**
    * Age of a confirmation from which a reader counts as stale. While nothing changes, the last confirmation of a
    * peer is up to two waitsForPeers at the store old.
@@ -51,26 +51,26 @@
 
 const MS_PER_S = 1_000;
 
-const CONFIGURATION_TIMING: Timing = {
+const CONFIGURATION_TIMING: KindTiming = {
   storeWaitMs: 700,
   peerWaitMs: 500,
   pauseMs: 250,
-  giverPauseMs: 250,
+  leaseHolderPauseMs: 250,
   staleMs: 2_400,
 };
 /** Load figures are sent along with the calls for hosts, so these calls wait for less time. */
-const HOSTS_TIMING: Timing = {
+const HOSTS_TIMING: KindTiming = {
   storeWaitMs: 1_000,
   peerWaitMs: 250,
   pauseMs: 150,
-  giverPauseMs: 50,
+  leaseHolderPauseMs: 50,
   staleMs: 2_800,
 };
-const MEMBERS_TIMING: Timing = {
+const MEMBERS_TIMING: KindTiming = {
   storeWaitMs: 3_000,
   peerWaitMs: 1_500,
   pauseMs: 500,
-  giverPauseMs: 500,
+  leaseHolderPauseMs: 500,
   staleMs: 9_000,
 };
 /**
@@ -78,11 +78,11 @@
  * delay. But a reader that does not answer goes unnoticed for as long as the wait, and an evacuation has to take
  * effect within seconds.
  */
-const EVACUATIONS_TIMING: Timing = {
+const EVACUATIONS_TIMING: KindTiming = {
   storeWaitMs: 1_500,
   peerWaitMs: 1_000,
   pauseMs: 50,
-  giverPauseMs: 50,
+  leaseHolderPauseMs: 50,
   staleMs: 4_500,
   // After a restore an operator may have to write it again; requests must not go to the failure domain until then.
   restoreMs: 15_000,
@@ -91,15 +91,15 @@
  * Entry hosts report requests in quarantine to each other; the store is needed only by those that start. A long
  * poll is answered as soon as there is one, so the waitsForPeers are as long as those for members.
  */
-const QUARANTINE_TIMING: Timing = {
+const QUARANTINE_TIMING: KindTiming = {
   storeWaitMs: 3_000,
   peerWaitMs: 1_500,
   pauseMs: 50,
-  giverPauseMs: 50,
+  leaseHolderPauseMs: 50,
   staleMs: 9_000,
 };
 /** The timing of each kind that is followed. */
-export const KIND_TIMINGS: Readonly<Partial<Record<ObjectKind, Timing>>> = {
+export const KIND_TIMINGS: Readonly<Partial<Record<ObjectKind, KindTiming>>> = {
   [OBJECT_KINDS.configuration]: CONFIGURATION_TIMING,
   [OBJECT_KINDS.hosts]: HOSTS_TIMING,
   [OBJECT_KINDS.members]: MEMBERS_TIMING,
@@ -130,7 +130,7 @@
         this.#watches.set(kind, watchOf(kind, observer, timing, options));
       }
     }
-    options.metrics.gauges.follow('confirmation_age_seconds', () => this.#ageReadings());
+    options.metrics.gauges.register('confirmation_age_seconds', () => this.#ageReadings());
   }
 
   /** The watch of a kind, if it is followed. */
@@ -140,10 +140,10 @@
 
   /** Follows all kinds until it is stopped. */
   start(): void {
-    const { log, peersKnown } = this.#options;
+    const { log, whenPeersKnown: whenPeersKnown } = this.#options;
     for (const [kind, watch] of this.#watches) {
       const waitsForPeers = kind === OBJECT_KINDS.hosts || isUrgent(kind);
-      const ready = waitsForPeers ? peersKnown() : Promise.resolve();
+      const ready = waitsForPeers ? whenPeersKnown() : Promise.resolve();
       runTask(
         log,
         kind,
@@ -192,11 +192,11 @@
 }
 
 /** Always chooses the same reader, for a host without peers. */
-export function onlyReader(reader: KindReader): ReaderChoice {
+export function singleReader(reader: KindReader): ReaderSelector {
   return {
     choose: () => reader,
     peek: () => reader,
-    note: () => undefined,
+    recordOutcome: () => undefined,
     usableInMs: () => 0,
   };
 }
@@ -204,13 +204,13 @@
 function watchOf(
   kind: ObjectKind,
   observer: KindObserver,
-  timing: Timing,
+  timing: KindTiming,
   {
     readers,
     followsStore,
     firstReader,
     hostsView,
-    givesOrders,
+    holdsLease: holdsLease,
     log,
     metrics,
   }: FollowedKindsOptions,
@@ -221,7 +221,7 @@
     ...(kind === OBJECT_KINDS.hosts ? { view: hostsView, firstReader } : {}),
     isUrgent: isUrgent(kind),
     waitMs: () => (followsStore() ? timing.storeWaitMs : timing.peerWaitMs),
-    pauseMs: () => (givesOrders() ? timing.giverPauseMs : timing.pauseMs),
+    pauseMs: () => (holdsLease() ? timing.leaseHolderPauseMs : timing.pauseMs),
     staleMs: timing.staleMs,
     restoreMs: timing.restoreMs ?? RESTORE_MS,
     observer,
--- a/packages/entry/src/store/kind-cache.test.ts
+++ b/packages/entry/src/store/kind-cache.test.ts
@@ -10,9 +10,9 @@
 describe('kind cache', () => {
   it('answers with the newest change of each object since a revision', () => {
     const cache = new KindCache();
-    cache.takeList({ objects: [], revision: 10 });
-    cache.takeChanges([put('a', 11), put('b', 12)], 12);
-    cache.takeChanges([put('a', 14)], 14);
+    cache.applyList({ objects: [], revision: 10 });
+    cache.applyChanges([put('a', 11), put('b', 12)], 12);
+    cache.applyChanges([put('a', 14)], 14);
     expect(cache.answerSince(12)).to.deep.equal({
       kind: 'changes',
       changes: [put('a', 14)],
@@ -26,9 +26,9 @@
 
   it('never goes back to an older revision', () => {
     const cache = new KindCache();
-    cache.takeList({ objects: [put('a', 5).object], revision: 20 });
-    expect(cache.takeList({ objects: [], revision: 19 })).to.equal(false);
-    expect(cache.takeChanges([put('a', 4)], 18)).to.equal(false);
+    cache.applyList({ objects: [put('a', 5).object], revision: 20 });
+    expect(cache.applyList({ objects: [], revision: 19 })).to.equal(false);
+    expect(cache.applyChanges([put('a', 4)], 18)).to.equal(false);
     expect(cache.answerSince(undefined)).to.deep.equal({
       kind: 'list',
       list: { objects: [put('a', 5).object], revision: 20 },
@@ -37,9 +37,9 @@
 
   it('answers that the history has expired rather than omit a change', () => {
     const cache = new KindCache();
-    cache.takeList({ objects: [], revision: 1 });
+    cache.applyList({ objects: [], revision: 1 });
     for (let revision = 2; revision < 400; revision++) {
-      cache.takeChanges([put(`o${revision}`, revision)], revision);
+      cache.applyChanges([put(`o${revision}`, revision)], revision);
     }
     expect(cache.answerSince(1)).to.deep.equal({ kind: 'expired' });
     const rest = cache.answerSince(300);
@@ -48,11 +48,11 @@
 
   it('keeps a reader waiting until there are changes', async () => {
     const cache = new KindCache();
-    cache.takeList({ objects: [], revision: 1 });
+    cache.applyList({ objects: [], revision: 1 });
     const startedAt = performance.now();
-    const waiting = cache.waitBeyond(1, 2_000);
-    setTimeout(() => cache.takeChanges([], 2), 10);
-    setTimeout(() => cache.takeChanges([put('a', 3)], 3), 40);
+    const waiting = cache.waitForChanges(1, 2_000);
+    setTimeout(() => cache.applyChanges([], 2), 10);
+    setTimeout(() => cache.applyChanges([put('a', 3)], 3), 40);
     await waiting;
     expect(performance.now() - startedAt).to.be.within(35, 500);
   });
--- a/packages/entry/src/store/kind-cache.ts
+++ b/packages/entry/src/store/kind-cache.ts
@@ -57,7 +57,7 @@
   }
 
   /** Replaces all objects by a whole list; false, without effect, when the list is older than the cache. */
-  takeList(list: ObjectList): boolean {
+  applyList(list: ObjectList): boolean {
     if (this.#revision !== undefined && list.revision < this.#revision) {
       return false;
     }
@@ -68,12 +68,12 @@
     this.#batches = [];
     this.#historyFrom = list.revision;
     this.#revision = list.revision;
-    this.wakeAll();
+    this.endWaits();
     return true;
   }
 
   /** Applies the changes up to a revision; false, without effect, when they are older than the cache. */
-  takeChanges(changes: readonly ObjectChange[], revision: number): boolean {
+  applyChanges(changes: readonly ObjectChange[], revision: number): boolean {
     if (this.#revision === undefined || revision < this.#revision) {
       return false;
     }
@@ -88,7 +88,7 @@
     if (changes.length > 0) {
       this.#batches.push({ revision, changes });
       this.#dropOldBatches();
-      this.wakeAll();
+      this.endWaits();
     }
     return true;
   }
@@ -122,7 +122,7 @@
   }
 
   /** Resolves when there are changes after `revision`, or after `waitMs` milliseconds. */
-  waitBeyond(revision: number, waitMs: number): Promise<void> {
+  waitForChanges(revision: number, waitMs: number): Promise<void> {
     const last = this.#batches.at(-1);
     if (revision < this.#historyFrom || (last !== undefined && last.revision > revision)) {
       return Promise.resolve();
@@ -143,7 +143,7 @@
   }
 
   /** Ends all waits at once, so that peers receive information other than changes without delay. */
-  wakeAll(): void {
+  endWaits(): void {
     [...this.#waiters].forEach(resolveWait => {
       resolveWait();
     });
--- a/packages/entry/src/store/kind-observers.ts
+++ b/packages/entry/src/store/kind-observers.ts
@@ -4,7 +4,7 @@
  */
 import type { ConfigurationHolder } from '../configuration/configuration-holder.js';
 import type { HostRegistry } from '../hosts/host-registry.js';
-import type { KnowledgeAtSend } from '../requests/standing-at-send.js';
+import type { StoreFreshness } from '../requests/host-state-at-send.js';
 import type { FollowedKinds } from './followed-kinds.js';
 import { OBJECT_KINDS } from './object-store.js';
 import type { KindObserver } from './watched-kind.js';
@@ -16,17 +16,17 @@
 ): KindObserver {
   return {
     listed: list => {
-      holder.takeList(list);
+      holder.applyList(list);
       onApplied();
     },
     changed: changes => {
-      holder.takeChanges(changes);
+      holder.applyChanges(changes);
       onApplied();
     },
     confirmed: askedAt => {
       holder.confirm(askedAt);
     },
-    isLater: holder.isLater,
+    isLater: holder.isAtLeastAsNew,
   };
 }
 
@@ -34,11 +34,11 @@
 export function hostsObserver(registry: HostRegistry, onListed: () => void): KindObserver {
   return {
     listed: list => {
-      registry.takeList(list);
+      registry.applyList(list);
       onListed();
     },
     changed: changes => {
-      registry.takeChanges(changes);
+      registry.applyChanges(changes);
     },
     confirmed: () => undefined,
     isLater: registry.isLater,
@@ -46,7 +46,10 @@
 }
 
 /** Version and age of the known configuration, and age of the known hosts, at the time of a send. */
-export function knowledgeOf(holder: ConfigurationHolder, kinds: FollowedKinds): KnowledgeAtSend {
+export function knownStateAtSend(
+  holder: ConfigurationHolder,
+  kinds: FollowedKinds,
+): StoreFreshness {
   return {
     version: holder.table?.version,
     configurationAgeMs: kinds.ageAtSendMs(OBJECT_KINDS.configuration),
--- a/packages/entry/src/store/restored-list.test.ts
+++ b/packages/entry/src/store/restored-list.test.ts
@@ -1,10 +1,10 @@
 /** Tests which of two states of an object takes precedence after a restore of the store from an older copy. */
-import { revisionIn } from '@hingescale/core';
+import { makeRevision } from '@hingescale/core';
 import { expect } from 'chai';
 
 import type { ObjectList, StoredObject } from './object-store.js';
 import type { StateOrder } from './restored-list.js';
-import { latestList, restoredList } from './restored-list.js';
+import { mergeIntoRestoredList, mergeLaterStates } from './restored-list.js';
 
 const ERA_BEFORE = 1;
 const ERA_AFTER = 2;
@@ -14,18 +14,18 @@
 const byValue: StateOrder = (listed, known) => Number(listed.value) >= Number(known.value);
 
 function object(name: string, era: number, number: number, value: unknown = 0): StoredObject {
-  return { name, revision: revisionIn(era, number), value };
+  return { name, revision: makeRevision(era, number), value };
 }
 
 function listOf(...objects: readonly StoredObject[]): ObjectList {
-  return { objects, revision: revisionIn(ERA_AFTER, 50) };
+  return { objects, revision: makeRevision(ERA_AFTER, 50) };
 }
 
 describe('a list from an older copy', () => {
   it('is superseded by known objects with a higher number, or missing from the list', () => {
     const known = [object('changed', ERA_BEFORE, 60), object('new', ERA_BEFORE, 61)];
     const list = listOf(object('changed', ERA_AFTER, 40));
-    const { objects } = restoredList(
+    const { objects } = mergeIntoRestoredList(
       list,
       { objects: known, removed: NOTHING_REMOVED },
       byRevision,
@@ -36,24 +36,28 @@
   it('takes precedence where its number is higher, since the object was written after the restore', () => {
     const written = object('a', ERA_AFTER, 45);
     const known = { objects: [object('a', ERA_BEFORE, 44)], removed: NOTHING_REMOVED };
-    expect(restoredList(listOf(written), known, byRevision).objects).to.deep.equal([written]);
+    expect(mergeIntoRestoredList(listOf(written), known, byRevision).objects).to.deep.equal([
+      written,
+    ]);
   });
 
   it('does not restore objects that were removed after the copy', () => {
-    const removed = new Map([['a', revisionIn(ERA_BEFORE, 60)]]);
+    const removed = new Map([['a', makeRevision(ERA_BEFORE, 60)]]);
     const list = listOf(object('a', ERA_AFTER, 40));
-    expect(restoredList(list, { objects: [], removed }, byRevision).objects).to.have.length(0);
+    expect(
+      mergeIntoRestoredList(list, { objects: [], removed }, byRevision).objects,
+    ).to.have.length(0);
   });
 
   it('takes precedence over objects read from the store since the restore', () => {
     const known = { objects: [object('a', ERA_AFTER, 45)], removed: NOTHING_REMOVED };
-    expect(restoredList(listOf(), known, byRevision).objects).to.have.length(0);
+    expect(mergeIntoRestoredList(listOf(), known, byRevision).objects).to.have.length(0);
   });
 
   it('follows the order of the objects themselves where they have one, whatever their numbers', () => {
     const later = object('a', ERA_AFTER, 10, 7);
     const known = object('a', ERA_BEFORE, 60, 6);
-    const restored = restoredList(
+    const restored = mergeIntoRestoredList(
       listOf(later),
       { objects: [known], removed: NOTHING_REMOVED },
       byValue,
@@ -65,7 +69,7 @@
 describe('a list', () => {
   it('does not replace an object by one that is older by its own order', () => {
     const known = object('a', ERA_BEFORE, 60, 6);
-    const list = latestList(
+    const list = mergeLaterStates(
       listOf(object('a', ERA_AFTER, 50, 5)),
       new Map([['a', known]]),
       byValue,
--- a/packages/entry/src/store/restored-list.ts
+++ b/packages/entry/src/store/restored-list.ts
@@ -23,7 +23,7 @@
 };
 
 /** The list, with each known state that is later than the listed one, and without objects removed since the copy. */
-export function restoredList(
+export function mergeIntoRestoredList(
   list: ObjectList,
   known: KnownObjects,
   isLater: StateOrder,
@@ -46,7 +46,7 @@
 }
 
 /** The list, with each known state that is later than the listed one by the order of the objects themselves. */
-export function latestList(
+export function mergeLaterStates(
   list: ObjectList,
   known: ReadonlyMap<string, StoredObject>,
   isLater: StateOrder,
--- a/packages/entry/src/store/watched-kind.test.ts
+++ b/packages/entry/src/store/watched-kind.test.ts
@@ -2,7 +2,7 @@
 
 import { silentLog } from '../server/log.js';
 import { monotonicMs } from '../server/time.js';
-import { NO_STORE } from '../testing/no-store.js';
+import { REFUSING_STORE } from '../testing/refusing-store.js';
 import type { KindAnswer, KindReader, KindView } from './kind-reader.js';
 import { storeReader } from './kind-reader.js';
 import type { ObjectStore, WatchAnswer } from './object-store.js';
@@ -27,7 +27,7 @@
 };
 
 function storeOf(change: Partial<ObjectStore>): ObjectStore {
-  return { ...NO_STORE, ...change };
+  return { ...REFUSING_STORE, ...change };
 }
 
 function watchOf(store: ObjectStore, observer: KindObserver = IGNORE): WatchedKind {
@@ -36,7 +36,7 @@
     readers: {
       choose: () => reader,
       peek: () => reader,
-      note: () => undefined,
+      recordOutcome: () => undefined,
       usableInMs: () => 0,
     },
     ...SETTINGS,
@@ -85,7 +85,7 @@
       readers: {
         choose: () => readers[chosen] as KindReader,
         peek: () => readers[chosen] as KindReader,
-        note: () => undefined,
+        recordOutcome: () => undefined,
         usableInMs: () => 0,
       },
       ...SETTINGS,
@@ -117,7 +117,12 @@
     const peer = readerOf('peer');
     const first = readerOf('first');
     const watch = new WatchedKind({
-      readers: { choose: () => peer, peek: () => peer, note: () => undefined, usableInMs: () => 0 },
+      readers: {
+        choose: () => peer,
+        peek: () => peer,
+        recordOutcome: () => undefined,
+        usableInMs: () => 0,
+      },
       ...SETTINGS,
       firstReader: () => first,
     });
@@ -144,7 +149,12 @@
     };
     let view: KindView = 'routing';
     const watch = new WatchedKind({
-      readers: { choose: () => peer, peek: () => peer, note: () => undefined, usableInMs: () => 0 },
+      readers: {
+        choose: () => peer,
+        peek: () => peer,
+        recordOutcome: () => undefined,
+        usableInMs: () => 0,
+      },
       ...SETTINGS,
       view: () => view,
     });
@@ -172,7 +182,7 @@
       readers: {
         choose: () => (isPeerStale ? store : peer),
         peek: () => (isPeerStale ? store : peer),
-        note: (_reader, outcome) => {
+        recordOutcome: (_reader, outcome) => {
           isPeerStale ||= outcome === 'stale';
         },
         usableInMs: () => 0,
@@ -182,7 +192,7 @@
     void watch.run();
     await wait(40);
     watch.stop();
-    expect(watch.inTouch).to.equal(true);
+    expect(watch.isFresh).to.equal(true);
   });
 
   it('lists again when the history has expired, and watches from there', async () => {
--- a/packages/entry/src/store/watched-kind.ts
+++ b/packages/entry/src/store/watched-kind.ts
@@ -16,7 +16,7 @@
 import type { KindReader, KindReading, KindView } from './kind-reader.js';
 import type { ObjectChange, ObjectKind, ObjectList } from './object-store.js';
 import type { StateOrder } from './restored-list.js';
-import { isSuperseded, latestList, restoredList } from './restored-list.js';
+import { isSuperseded, mergeIntoRestoredList, mergeLaterStates } from './restored-list.js';
 
 /** Receives the lists, changes and confirmations of a watch. */
 export type KindObserver = {
@@ -34,10 +34,10 @@
 };
 
 /** Outcome of a read: `stale` when its answer was confirmed too long ago. */
-export type ReadingOutcome = 'fresh' | 'stale' | 'failed';
+export type ReadOutcome = 'fresh' | 'stale' | 'failed';
 
 /** Chooses the reader of each step, and records the outcome of its reads. */
-export type ReaderChoice = {
+export type ReaderSelector = {
   /**
    * Returns a reader other than one that has just failed, as long as any other is usable. For an urgent kind it
    * is the store itself once several peers in a row have failed.
@@ -45,14 +45,14 @@
   readonly choose: (isUrgent?: boolean) => KindReader;
   /** The reader that `choose` would return, without the side effects of choosing it. */
   readonly peek: (isUrgent?: boolean) => KindReader;
-  readonly note: (reader: KindReader, outcome: ReadingOutcome) => void;
+  readonly recordOutcome: (reader: KindReader, outcome: ReadOutcome) => void;
   /** Milliseconds until some reader is usable; 0 when one is. */
   readonly usableInMs: () => number;
 };
 
 /** Options of {@link WatchedKind}. */
 export type WatchOptions = {
-  readonly readers: ReaderChoice;
+  readonly readers: ReaderSelector;
   readonly kind: ObjectKind;
   /** Reader of the first list; where absent or undefined, `readers` chooses it. */
   readonly firstReader?: () => KindReader | undefined;
@@ -131,7 +131,7 @@
           await sleep(this.#options.pauseMs(), this.#abort.signal);
         }
       } catch (error) {
-        this.#options.readers.note(reader, 'failed');
+        this.#options.readers.recordOutcome(reader, 'failed');
         await this.#recordFailure(reader, error as Error);
       }
     }
@@ -158,7 +158,7 @@
   }
 
   /** True if the last read was fresh; false from a failed or stale read until the next fresh one. */
-  get inTouch(): boolean {
+  get isFresh(): boolean {
     return this.#failures === 0 && this.cache.revision !== undefined;
   }
 
@@ -168,7 +168,7 @@
   }
 
   /** How long all reads have been fresh, in milliseconds; undefined if the last was not, or there was none. */
-  get inTouchForMs(): number | undefined {
+  get freshForMs(): number | undefined {
     return this.#inTouchSince === undefined ? undefined : elapsedMs() - this.#inTouchSince;
   }
 
@@ -216,7 +216,7 @@
     const changed = this.#apply(reading, view, reader);
     const age = elapsedMs() - reading.confirmedAt;
     const fresh = reading.inTouch && age < staleMs;
-    readers.note(reader, fresh ? 'fresh' : 'stale');
+    readers.recordOutcome(reader, fresh ? 'fresh' : 'stale');
     if (fresh) {
       this.#inTouchSince ??= elapsedMs();
       this.#recordFresh(reader);
@@ -242,7 +242,7 @@
     if (answer.kind === 'list') {
       this.#expired = false;
       const list = this.#mergeList(answer.list, reader);
-      changed = this.cache.takeList(list);
+      changed = this.cache.applyList(list);
       if (changed) {
         this.#view = view;
         this.#lastReader = reader;
@@ -256,7 +256,7 @@
       changed = true;
     } else {
       const changes = answer.changes.filter(change => !this.#isSuperseded(change));
-      const isApplied = this.cache.takeChanges(changes, answer.revision);
+      const isApplied = this.cache.applyChanges(changes, answer.revision);
       this.#countOlderAnswer(isApplied, answer.revision, reader);
       changed = isApplied && changes.length > 0;
       if (changed) {
@@ -284,10 +284,10 @@
     }
     if (this.#isRestoring()) {
       const known = { objects: cache.objects.values(), removed: this.#removedBeforeRestore };
-      return restoredList(list, known, isLater);
+      return mergeIntoRestoredList(list, known, isLater);
     }
     this.#endRestoring();
-    return latestList(list, cache.objects, isLater);
+    return mergeLaterStates(list, cache.objects, isLater);
   }
 
   #beginRestoring(list: ObjectList, reader: KindReader): void {
--- a/packages/entry/src/testing/cold-days.ts
+++ b/packages/entry/src/testing/cold-host-scenarios.ts
@@ -27,7 +27,7 @@
 };
 
 /** The scenario of one simulated minute. */
-export type ColdDay = {
+export type ColdHostScenario = {
   /** Entry hosts at the start. */
   readonly members: number;
   readonly coldHosts: number;
@@ -48,7 +48,7 @@
 };
 
 /** Creates the sender of a process that starts; `view` returns the members that the process knows at the time. */
-export type ColdWay = (
+export type RateDivision = (
   self: string,
   limit: RateLimit,
   view: () => MemberView,
@@ -56,15 +56,15 @@
 ) => ColdSender;
 
 /** Rates at which cold hosts received requests. */
-export type ColdDayResult = {
+export type ColdHostRates = {
   /** Most requests that one cold host received within any one second. */
-  readonly mostInSecond: number;
+  readonly maxPerSecond: number;
   /** Lowest average rate at which one cold host received requests over the minute, per second. */
-  readonly leastRate: number;
+  readonly minRate: number;
 };
 
 /** Length of a scenario, in milliseconds. */
-export const DAY_MS = 60_000;
+export const SCENARIO_MS = 60_000;
 /** Time between two steps of the simulation, in milliseconds. */
 const STEP_MS = 10;
 /** Time from the start of one burst to the next, in milliseconds. */
@@ -83,14 +83,14 @@
 };
 
 /** The way that entry hosts use; `startsFull` omits the wait after a start and after a change of the members. */
-export function ownersWay(startsFull = false): ColdWay {
+export function divisionByOwners(startsFull = false): RateDivision {
   return (self, limit, view, startedAt) => {
-    const slowStart: SlowStart = { requestsPerSecond: limit.perWindow, coldMs: DAY_MS };
+    const slowStart: SlowStart = { requestsPerSecond: limit.perWindow, coldMs: SCENARIO_MS };
     const since = startsFull ? -Infinity : startedAt;
     return new ColdSends({
       self,
       members: startsFull ? withoutAge(view) : view,
-      spellOf: () => ({ since, until: Infinity }),
+      coldPeriodOf: () => ({ since, until: Infinity }),
       slowStartOf: () => slowStart,
       bounds: () => ({ coldOvershoot: 0, coldSlack: limit.mostPerWindow }),
       counters: new Counters(),
@@ -99,11 +99,11 @@
 }
 
 /** Gives each entry host an equal share of the rate, by the number of members that it knows. */
-export const EQUAL_PARTS: ColdWay = (_self, limit, view, startedAt) =>
+export const EQUAL_SHARES: RateDivision = (_self, limit, view, startedAt) =>
   pacedSender(startedAt, () => limit.perWindow / Math.max(1, view().names.length));
 
 /** Gives a fixed rate to each of a fixed number of owners, regardless of the bound and the number of members. */
-export function fixedOwners(owners: number, perSecond: number): ColdWay {
+export function fixedOwners(owners: number, perSecond: number): RateDivision {
   return (self, _limit, view, startedAt) =>
     pacedSender(startedAt, host =>
       isAmongTop(self, view().names, host.id, owners) ? perSecond : 0,
@@ -111,7 +111,11 @@
 }
 
 /** Simulates a scenario with one way to divide the rate. */
-export function playColdDay(day: ColdDay, limit: RateLimit, way: ColdWay): ColdDayResult {
+export function simulateColdHosts(
+  day: ColdHostScenario,
+  limit: RateLimit,
+  way: RateDivision,
+): ColdHostRates {
   const names = Array.from({ length: day.members }, (_, at) => `entry-${at}`);
   const hosts = Array.from(
     { length: day.coldHosts },
@@ -131,7 +135,7 @@
   });
   const events = eventsOf(day, names, processes, start);
   const sends = hosts.map((): number[] => []);
-  for (let now = 0; now <= DAY_MS; now += STEP_MS) {
+  for (let now = 0; now <= SCENARIO_MS; now += STEP_MS) {
     for (let next = events[0]; next !== undefined && next.atMs <= now; next = events[0]) {
       next.apply(now);
       events.shift();
@@ -144,8 +148,8 @@
     });
   }
   return {
-    mostInSecond: Math.max(...sends.map(mostInSecond)),
-    leastRate: Math.min(...sends.map(times => times.length / (DAY_MS / MS_PER_S))),
+    maxPerSecond: Math.max(...sends.map(mostInSecond)),
+    minRate: Math.min(...sends.map(times => times.length / (SCENARIO_MS / MS_PER_S))),
   };
 }
 
@@ -154,7 +158,7 @@
 type ScenarioEvent = { readonly atMs: number; readonly apply: (now: number) => void };
 
 function eventsOf(
-  day: ColdDay,
+  day: ColdHostScenario,
   names: readonly string[],
   processes: Process[],
   start: (process: Process, now: number) => void,
@@ -173,7 +177,7 @@
 
 // Creates an event for each join, and one for each process that learns of it, spread evenly over the lag.
 function joinEvents(
-  day: ColdDay,
+  day: ColdHostScenario,
   names: readonly string[],
   processes: Process[],
   start: (process: Process, now: number) => void,
--- a/packages/entry/src/testing/crash-days.ts
+++ b/packages/entry/src/testing/crash-simulation.ts
@@ -5,7 +5,7 @@
 import { CrashEvidence } from '../quarantine/crash-evidence.js';
 
 /** The load and the faults of a simulation. */
-export type CrashDay = {
+export type CrashScenario = {
   /** Hosts that take requests, in racks of four. */
   readonly hosts: number;
   /** Harmless requests per second. */
@@ -25,7 +25,7 @@
 };
 
 /** The outcome of a simulation. */
-export type CrashDayResult = {
+export type CrashScenarioResult = {
   /** Number of hosts that each crashing request has ended. */
   readonly endedBy: readonly number[];
   /** Number of harmless requests that were quarantined. */
@@ -70,12 +70,12 @@
 type SimulatedEvent = { readonly at: number; readonly call: () => void };
 
 /** Runs a simulation; `random` returns numbers in [0, 1). */
-export function playCrashDay(day: CrashDay, random: () => number): CrashDayResult {
+export function simulateCrashes(day: CrashScenario, random: () => number): CrashScenarioResult {
   return new CrashSimulation(day, random).play();
 }
 
 class CrashSimulation {
-  readonly #day: CrashDay;
+  readonly #day: CrashScenario;
   readonly #random: () => number;
   readonly #hosts: readonly SimulatedHost[];
   readonly #events: SimulatedEvent[] = [];
@@ -85,7 +85,7 @@
   readonly #evidence = new CrashEvidence(() => this.#now);
   #now = 0;
 
-  constructor(day: CrashDay, random: () => number) {
+  constructor(day: CrashScenario, random: () => number) {
     this.#day = day;
     this.#random = random;
     this.#hosts = Array.from({ length: day.hosts }, () => ({
@@ -96,7 +96,7 @@
     this.#sharedRequest = this.#newRequest(false, Infinity);
   }
 
-  play(): CrashDayResult {
+  play(): CrashScenarioResult {
     this.#scheduleRequests();
     this.#scheduleLosses();
     this.#runEvents();
