--- a/packages/entry/src/testing/fleet-model.ts
+++ b/packages/entry/src/testing/fleet-model.ts
@@ -3,13 +3,13 @@
  * lost and added hosts, and evacuated failure domains. Time advances only in `run`; orders take effect at once.
  */
 import type { EngineProfile, GroupModel } from '../configuration/serving-configuration.js';
-import { planIdleFormations, planIdleStagings } from '../groups/evacuated-plan.js';
+import { planDissolution } from '../groups/dissolution-plan.js';
+import { planEvacuatedFormations, planEvacuatedStagings } from '../groups/evacuated-domain-plan.js';
 import type { FleetDomain, FleetView, PlacedGroup } from '../groups/fleet-view.js';
-import { dividedByUse, wholeFleetOf } from '../groups/fleet-view.js';
+import { splitByEvacuation, withEvacuatedDomains } from '../groups/fleet-view.js';
 import type { FormationLoads } from '../groups/formation-plan.js';
-import { FREE_LOADS, NO_LOADS, planFormations } from '../groups/formation-plan.js';
+import { NO_LOADS, planFormations, UNLIMITED_LOADS } from '../groups/formation-plan.js';
 import { LoadBudget } from '../groups/load-budget.js';
-import { planDissolution } from '../groups/rearrangement-plan.js';
 import { planStagings } from '../groups/staging-plan.js';
 import type { HostEntry } from '../hosts/host-entry.js';
 import { testHost } from './groups.js';
@@ -91,7 +91,7 @@
     options.domainSizes.forEach((size, domain) => {
       for (let index = 0; index < size; index++) {
         const staged = options.stagedAtStart?.(this.#hosts.length);
-        this.arrive(domain, staged === undefined ? [] : [staged]);
+        this.addHost(domain, staged === undefined ? [] : [staged]);
       }
     });
   }
@@ -107,7 +107,7 @@
   }
 
   /** Permanently removes a host in a group of a failure domain, and dissolves its group. */
-  loseIn(failureDomain: string): void {
+  removeHostIn(failureDomain: string): void {
     const inside = this.#groups.filter(
       ({ members }) => members[0]?.failureDomain === failureDomain,
     );
@@ -131,19 +131,19 @@
   }
 
   /** True while no group is joining and no host is staging. */
-  get isQuiet(): boolean {
+  get isSettled(): boolean {
     const isJoining = this.#groups.some(group => group.openInMs > 0);
     return !isJoining && this.#hosts.every(host => host.staging === undefined);
   }
 
   /** Largest number of free hosts in any fabric domain, evacuated domains included. */
-  get mostFree(): number {
-    const { domains } = wholeFleetOf(this.#view());
+  get maxFreeHosts(): number {
+    const { domains } = withEvacuatedDomains(this.#view());
     return Math.max(0, ...domains.map(domain => domain.free.length));
   }
 
   /** Adds a host to a fabric domain. */
-  arrive(domain: number, staged: readonly string[] = []): void {
+  addHost(domain: number, staged: readonly string[] = []): void {
     this.#namesUsed += 1;
     this.#hosts.push({
       id: `h${this.#namesUsed}`,
@@ -156,7 +156,7 @@
   }
 
   /** Permanently removes a host and dissolves its group; `pick` selects among hosts in groups, or all if none is. */
-  lose(pick: number): void {
+  removeHost(pick: number): void {
     const grouped = this.#groups.flatMap(group => group.members);
     const candidates = grouped.length > 0 ? grouped : this.#hosts;
     this.#remove(candidates[pick % candidates.length]);
@@ -174,7 +174,7 @@
   }
 
   /** Ends the evacuation of a failure domain. */
-  takeBack(failureDomain: string): void {
+  endEvacuation(failureDomain: string): void {
     this.#evacuated.delete(failureDomain);
     this.#returnedAt = this.#now;
   }
@@ -192,11 +192,11 @@
 
   #plan(loads: FormationLoads): boolean {
     const view = this.#view();
-    const formations = [...planFormations(view, loads), ...planIdleFormations(view, loads)];
+    const formations = [...planFormations(view, loads), ...planEvacuatedFormations(view, loads)];
     for (const { hosts, model, readyMs } of formations) {
       this.orders += hosts.length + 1;
       const members = hosts.map(host => this.#hostOf(host));
-      const loadFactor = loads === FREE_LOADS ? FREE_LOAD_FACTOR : 1;
+      const loadFactor = loads === UNLIMITED_LOADS ? FREE_LOAD_FACTOR : 1;
       this.#namesUsed += 1;
       const openInMs = readyMs * loadFactor + OPENING_MS;
       this.#groups.push({ name: `g${this.#namesUsed}`, model, members, openInMs });
@@ -233,8 +233,11 @@
   }
 
   #stage(view: FleetView, loads: FormationLoads): boolean {
-    if (loads === FREE_LOADS) {
-      const freeStagings = [...planStagings(view, Infinity), ...planIdleStagings(view, Infinity)];
+    if (loads === UNLIMITED_LOADS) {
+      const freeStagings = [
+        ...planStagings(view, Infinity),
+        ...planEvacuatedStagings(view, Infinity),
+      ];
       for (const { host, model } of freeStagings) {
         this.#addStaged(this.#hostOf(host), model);
       }
@@ -242,12 +245,12 @@
     }
     const { loadsPerSecond, loadsAtOnce } = this.#profile;
     const running = this.#hosts.filter(host => host.staging !== undefined).length;
-    const left = this.#budget.left(this.#now, loadsPerSecond, loadsAtOnce + 1, running);
+    const left = this.#budget.availableLoads(this.#now, loadsPerSecond, loadsAtOnce + 1, running);
     const inUse = planStagings(view, left);
-    const planned = [...inUse, ...planIdleStagings(view, left - inUse.length)];
+    const planned = [...inUse, ...planEvacuatedStagings(view, left - inUse.length)];
     this.loads += planned.length;
     this.orders += planned.length;
-    this.#budget.note(this.#now, planned.length);
+    this.#budget.recordLoads(this.#now, planned.length);
     for (const { host, model } of planned) {
       this.#hostOf(host).staging = { model, leftMs: model.loadMs };
     }
@@ -304,7 +307,7 @@
         free: withoutModels(domain),
         groups: [],
       }));
-      const ideal = planFormations({ ...view, domains }, FREE_LOADS);
+      const ideal = planFormations({ ...view, domains }, UNLIMITED_LOADS);
       possible = ideal.reduce((sum, { hosts }) => sum + hosts.length, 0);
       this.#possibleByDomainSizes.set(key, possible);
     }
@@ -317,7 +320,7 @@
       const free = domain.free.filter(({ lastModel, stagedModels }) =>
         [lastModel, ...stagedModels].every(model => model === undefined || !served.has(model)),
       );
-      const stranded = free.filter(host => view.stagingNow(host.id) === undefined);
+      const stranded = free.filter(host => view.stagingModelOf(host.id) === undefined);
       const inGroups = domain.groups.reduce((sum, { members }) => sum + members.length, 0);
       this.hostMs += ms * (domain.free.length + inGroups);
       this.strandedHostMs += ms * stranded.length;
@@ -355,14 +358,14 @@
     });
     const stagingNow = (id: string): string | undefined =>
       this.#hosts.find(host => host.id === id)?.staging?.model.name;
-    const divided = dividedByUse(domains, this.#evacuated);
+    const divided = splitByEvacuation(domains, this.#evacuated);
     return {
       profile: this.#profile,
       ...divided,
       isReturning,
-      lapsed: new Set(),
-      stagingNow,
-      slow: new Set(),
+      lapsedDomains: new Set(),
+      stagingModelOf: stagingNow,
+      slowHosts: new Set(),
     };
   }
 }
--- a/packages/entry/src/testing/groups.ts
+++ b/packages/entry/src/testing/groups.ts
@@ -1,6 +1,6 @@
 /** Hosts and known states for tests of the lease holder's decisions. */
-import type { GroupBeliefs } from '../groups/group-beliefs.js';
-import type { HostEntry, HostReading } from '../hosts/host-entry.js';
+import type { KnownGroupState } from '../groups/known-group-state.js';
+import type { HostEntry, HostParseResult } from '../hosts/host-entry.js';
 
 /** Creates an accepting host with a loaded model and no group; `change` overrides fields. */
 export function testHost(id: string, change: Partial<HostEntry> = {}): HostEntry {
@@ -22,28 +22,28 @@
 }
 
 /** Creates the reading of a valid host entry. */
-export function readTestHost(entry: HostEntry): HostReading {
+export function testHostReading(entry: HostEntry): HostParseResult {
   return { kind: 'host', entry };
 }
 
 /** Creates the known state of a lease holder that has observed nothing yet; `change` overrides fields. */
-export function testBeliefs(change: Partial<GroupBeliefs> = {}): GroupBeliefs {
+export function testKnownState(change: Partial<KnownGroupState> = {}): KnownGroupState {
   return {
     formations: new Map(),
     dissolving: new Map(),
     stagings: new Map(),
     heads: new Map(),
     incompleteSince: new Map(),
-    silent: new Map(),
-    slow: new Set(),
-    justBack: new Set(),
-    unlisted: new Map(),
-    beingAsked: [],
+    unresponsiveHosts: new Map(),
+    slowHosts: new Set(),
+    recoveredHosts: new Set(),
+    unlistedHosts: new Map(),
+    hostsBeingProbed: [],
     entriesMayReturn: false,
     lapsedDomains: new Set(),
     evacuatedDomains: new Set(),
     isReturning: false,
-    busy: new Set(),
+    busyHosts: new Set(),
     loadsLeft: 10,
     ...change,
   };
--- a/packages/entry/src/testing/limit-day-checks.ts
+++ b/packages/entry/src/testing/limit-scenario-checks.ts
@@ -1,6 +1,6 @@
 /** Compares the requests that a simulated host received with its limit and the allowed bound. Pure functions. */
 
-import type { LimitStep, SaidLimit } from './limit-day.js';
+import type { LimitStep, ReceivedLimit } from './limit-scenario.js';
 
 /** Configured bounds on the requests that a limited host may receive. */
 export const BOUNDS = { limitWindowMs: 4_000, limitOvershoot: 1.5, limitSlack: 5 } as const;
@@ -11,7 +11,7 @@
 const MS_PER_S = 1_000;
 
 /** Returns the largest excess over the bound, of all windows that end `COUNTED_AFTER_MS` or more after a start. */
-export function mostExcess(times: readonly number[], observed: readonly SaidLimit[]): number {
+export function maxExcess(times: readonly number[], observed: readonly ReceivedLimit[]): number {
   let firstIndex = 0;
   let maxExcess = -Infinity;
   times.forEach((at, index) => {
@@ -47,7 +47,7 @@
 
 // Largest limit in the window that ends at `at` and in the propagation time before it; Infinity if the host has had a
 // limit for less than `COUNTED_AFTER_MS`.
-function largestLimit(observed: readonly SaidLimit[], at: number): number {
+function largestLimit(observed: readonly ReceivedLimit[], at: number): number {
   const started = observed.filter(({ heardAt }) => heardAt <= at);
   const lastUnlimited = started.map(({ perSecond }) => perSecond).lastIndexOf(Infinity);
   const currentLimits = started.slice(lastUnlimited + 1);
--- a/packages/entry/src/testing/limit-day.ts
+++ b/packages/entry/src/testing/limit-scenario.ts
@@ -4,10 +4,10 @@
 export type LimitStep = { readonly atMs: number; readonly perSecond: number };
 
 /** A limit with the time of the first answer that contained it; no entry host can know it before. */
-export type SaidLimit = LimitStep & { readonly heardAt: number };
+export type ReceivedLimit = LimitStep & { readonly heardAt: number };
 
 /** A disruption of a part of the entry hosts: the first ones of the list. */
-export type Trouble = {
+export type Disruption = {
   readonly kind: 'restart' | 'suspension' | 'cut';
   readonly atMs: number;
   /** Duration of a suspension or partition, in milliseconds; ignored for a restart. */
@@ -17,7 +17,7 @@
 };
 
 /** Load, limits and disruptions of the simulated minute. */
-export type LimitDay = {
+export type LimitScenario = {
   readonly seed: number;
   /** Number of entry hosts at the start. */
   readonly members: number;
@@ -28,16 +28,16 @@
   /** True if requests arrive at all entry hosts in the same bursts, every few seconds, instead of at random. */
   readonly inBursts: boolean;
   readonly limits: readonly LimitStep[];
-  readonly troubles: readonly Trouble[];
+  readonly troubles: readonly Disruption[];
   /** Times at which another entry host registers, in milliseconds. */
   readonly joins: readonly number[];
 };
 
 /** The product's mechanism, another division of the limit, or the mechanism with a part disabled. */
-export type LimitWay = 'as-built' | 'equal-parts' | 'no-reports' | 'any-answer-ends-it';
+export type LimitVariant = 'as-built' | 'equal-parts' | 'no-reports' | 'any-answer-ends-it';
 
 /** Result of a simulation. */
-export type LimitDayResult = {
+export type LimitSimulationResult = {
   /** Largest excess over the bound in a window, by entry hosts that have received the limit; no excess if 0 or less. */
   readonly excess: number;
   /** Received requests as a part of the limit, counted from `COUNTED_AFTER_MS` after each change. */
--- a/packages/entry/src/testing/limit-days.ts
+++ b/packages/entry/src/testing/limit-simulation.ts
@@ -8,25 +8,25 @@
 
 import type { HostEntry } from '../hosts/host-entry.js';
 import type { MemberView } from '../peers/membership.js';
+import { HostRateLimits } from '../rate-limits/host-rate-limits.js';
 import type { LimitReport } from '../rate-limits/limit-report.js';
-import { NamedLimits } from '../rate-limits/named-limits.js';
 import type { SendBound } from '../rate-limits/paced-sends.js';
 import { PacedSends } from '../rate-limits/paced-sends.js';
 import { silentLog } from '../server/log.js';
 import { Counters, Gauges } from '../server/metrics.js';
 import { testHost } from './groups.js';
 import type {
-  LimitDay,
-  LimitDayResult,
+  Disruption,
+  LimitScenario,
+  LimitSimulationResult,
   LimitStep,
-  LimitWay,
-  SaidLimit,
-  Trouble,
-} from './limit-day.js';
-import { BOUNDS, mostExcess, usedPart } from './limit-day-checks.js';
+  LimitVariant,
+  ReceivedLimit,
+} from './limit-scenario.js';
+import { BOUNDS, maxExcess, usedPart } from './limit-scenario-checks.js';
 
 /** Simulated time of a scenario, in milliseconds. */
-export const DAY_MS = 60_000;
+export const SCENARIO_MS = 60_000;
 /** The requests of an entry host count from this time after it has received the limit, in milliseconds. */
 const INFORMED_AFTER_MS = 500;
 /** Time after a restart, suspension, partition or join in which requests do not count, in milliseconds. */
@@ -58,7 +58,7 @@
   readonly isBusy: boolean;
   readonly sentTo: Map<Entry, { readonly process: number; readonly sequence: number }>;
   process: number;
-  limits: NamedLimits;
+  limits: HostRateLimits;
   sends: PacedSends;
   view: MemberView;
   /** Start of the current period of limits, and when this entry host received a limit of it, in milliseconds. */
@@ -71,17 +71,20 @@
 };
 
 /** Runs the scenario with the product's mechanism, or with a variant of it. */
-export function playLimitDay(day: LimitDay, way: LimitWay = 'as-built'): LimitDayResult {
+export function simulateLimits(
+  day: LimitScenario,
+  way: LimitVariant = 'as-built',
+): LimitSimulationResult {
   return new LimitSimulation(day, way).run();
 }
 
 class LimitSimulation {
-  readonly #day: LimitDay;
-  readonly #way: LimitWay;
+  readonly #day: LimitScenario;
+  readonly #way: LimitVariant;
   readonly #entries: Entry[] = [];
   readonly #events = new Map<number, (() => void)[]>();
   readonly #arrivals: Arrival[] = [];
-  readonly #observed: SaidLimit[] = [];
+  readonly #observed: ReceivedLimit[] = [];
   readonly #random: () => number;
   #now = 0;
   #linkedAt = -1;
@@ -89,7 +92,7 @@
   #endedAt: number | undefined;
   #longestReturnMs = 0;
 
-  constructor(day: LimitDay, way: LimitWay) {
+  constructor(day: LimitScenario, way: LimitVariant) {
     this.#day = day;
     this.#way = way;
     const generator = xoroshiro128plus(day.seed);
@@ -99,7 +102,7 @@
     }
     const names = this.#entries.map(({ name }) => name);
     this.#entries.forEach(entry => {
-      entry.view = { names, since: -DAY_MS };
+      entry.view = { names, since: -SCENARIO_MS };
     });
     day.joins.forEach((atMs, index) => {
       this.#schedule(atMs, () => {
@@ -118,8 +121,8 @@
     });
   }
 
-  run(): LimitDayResult {
-    for (; this.#now <= DAY_MS; this.#now += STEP_MS) {
+  run(): LimitSimulationResult {
+    for (; this.#now <= SCENARIO_MS; this.#now += STEP_MS) {
       const due = this.#events.get(this.#now) ?? [];
       this.#events.delete(this.#now);
       due.forEach(event => {
@@ -140,8 +143,8 @@
       arrivals.map(({ at }) => at);
     const counted = this.#arrivals.filter(({ isInformed, isExcused }) => isInformed && !isExcused);
     return {
-      excess: mostExcess(timesOf(counted), this.#observed),
-      usedPart: usedPart(timesOf(this.#arrivals), this.#day.limits, DAY_MS),
+      excess: maxExcess(timesOf(counted), this.#observed),
+      usedPart: usedPart(timesOf(this.#arrivals), this.#day.limits, SCENARIO_MS),
       longestReturnMs: this.#longestReturnMs,
     };
   }
@@ -193,9 +196,9 @@
     entry.informed = NOT_INFORMED;
     entry.sentTo.clear();
     entry.pending.splice(0);
-    entry.limits = new NamedLimits({
+    entry.limits = new HostRateLimits({
       bounds: () => BOUNDS,
-      reported: () => {
+      onChange: () => {
         this.#report(entry);
       },
       log: silentLog(),
@@ -210,7 +213,7 @@
       self: entry.name,
       members: () => this.#membersOf(entry),
       boundOf: (host, now) => this.#boundOf(entry, limits.boundOf(host, now)),
-      taken: () => undefined,
+      onClaim: () => undefined,
     });
   }
 
@@ -245,7 +248,7 @@
     this.#entries.push(joined);
   }
 
-  #disrupt({ kind, forMs, part }: Trouble): void {
+  #disrupt({ kind, forMs, part }: Disruption): void {
     const affected = this.#entries.slice(0, Math.ceil(part * this.#entries.length));
     const until = this.#now + (kind === 'restart' ? 0 : forMs);
     affected.forEach(entry => {
@@ -321,7 +324,7 @@
     const notice = isLimited
       ? ({ kind: 'limited', perSecond } as const)
       : ({ kind: 'unlimited' } as const);
-    entry.limits.hear(HOST, notice, askedAt);
+    entry.limits.receiveNotice(HOST, notice, askedAt);
   }
 
   // As in `ReportExchange`, sends new reports to the entry host that this one follows and to its followers.
@@ -338,7 +341,7 @@
         entry.sentTo.set(neighbour, { process: neighbour.process, sequence });
         const reports: readonly LimitReport[] = entry.limits.since(from);
         this.#deliver(neighbour, this.#now + this.#random() * MAX_REPORT_DELAY_MS, () => {
-          if (neighbour.limits.take(reports)) {
+          if (neighbour.limits.receiveReports(reports)) {
             this.#requestReports(neighbour, entry);
           }
         });
@@ -351,7 +354,7 @@
     this.#deliver(asked, this.#now + this.#random() * MAX_REPORT_DELAY_MS, () => {
       const reports = asked.limits.since(0);
       this.#deliver(asking, this.#now + this.#random() * MAX_REPORT_DELAY_MS, () => {
-        asking.limits.take(reports, requestedAt);
+        asking.limits.receiveReports(reports, requestedAt);
       });
     });
   }
--- a/packages/entry/src/testing/no-store.ts
+++ b/packages/entry/src/testing/refusing-store.ts
@@ -5,7 +5,7 @@
 const refuse = (): Promise<never> => Promise.reject(new StoreError('refused', 'not used'));
 
 /** Store that refuses every call except `close`, which does nothing. */
-export const NO_STORE: ObjectStore = {
+export const REFUSING_STORE: ObjectStore = {
   list: refuse,
   read: refuse,
   watch: refuse,
--- a/packages/entry/src/testing/relay.ts
+++ b/packages/entry/src/testing/relay.ts
@@ -6,8 +6,8 @@
 import type { Route, Service } from '../configuration/serving-configuration.js';
 import type { HostEntry } from '../hosts/host-entry.js';
 import { fingerprintOf } from '../quarantine/request-fingerprint.js';
-import { NamedLimits } from '../rate-limits/named-limits.js';
-import { PacedWaits } from '../requests/paced-waits.js';
+import { HostRateLimits } from '../rate-limits/host-rate-limits.js';
+import { PacedQueues } from '../requests/paced-queues.js';
 import type { RelayServices } from '../requests/relay-services.js';
 import type { RequestContext } from '../requests/request-context.js';
 import { ServiceLimits } from '../requests/service-limits.js';
@@ -54,14 +54,14 @@
 };
 
 /** An upstream host for tests whose responses are written by a function. */
-export class UpstreamStandIn {
+export class TestUpstreamHost {
   /** Request ids of the received requests. */
-  readonly seen: string[] = [];
+  readonly receivedIds: string[] = [];
   readonly #server: Server;
 
   constructor(answer: (response: ServerResponse, request: IncomingMessage) => void) {
     this.#server = createServer((request, response) => {
-      this.seen.push(String(request.headers[TEST_HEADERS.requestId]));
+      this.receivedIds.push(String(request.headers[TEST_HEADERS.requestId]));
       request.resume();
       answer(response, request);
     });
@@ -88,7 +88,7 @@
   const counters = new Counters();
   const limits = new ServiceLimits({
     retries: { ratio: 1, slack: 100, windowMs: 10_000 },
-    hosts: () => 1,
+    entryHosts: () => 1,
     log,
     counters,
   });
@@ -96,26 +96,26 @@
     headers: TEST_HEADERS,
     chooser: {
       choose,
-      hasSound: () => false,
+      hasHealthyTarget: () => false,
       isLost: () => false,
       expectedFirstMs: () => undefined,
-      outlook: () => ({ standings: [], formingMs: undefined, backoffMs: undefined }),
+      availability: () => ({ statuses: [], formingMs: undefined, backoffMs: undefined }),
       paceOf: () => undefined,
       placeInMs: () => undefined,
     },
-    pacedWaits: new PacedWaits(),
+    pacedQueues: new PacedQueues(),
     activities: new HostActivities(),
     notices: new HostNotices({
-      leaves: () => undefined,
-      reported: () => undefined,
+      onHostLeaving: () => undefined,
+      onReportNeeded: () => undefined,
       log,
       counters,
       gauges: new Gauges(),
       now: monotonicMs,
     }),
-    namedLimits: new NamedLimits({
+    namedLimits: new HostRateLimits({
       bounds: () => ({ limitWindowMs: 4_000, limitOvershoot: 1.5, limitSlack: 5 }),
-      reported: () => undefined,
+      onChange: () => undefined,
       log,
       counters,
       gauges: new Gauges(),
@@ -125,19 +125,19 @@
     stalls: new StallMonitor(),
     budgetOf: (service: string) => limits.budgetOf(service),
     connectionsOf: (service: Service) => limits.connectionsOf(service),
-    suspect: () => undefined,
+    reportSuspectedTarget: () => undefined,
     isUnreachable: () => false,
-    eligibility: { take: () => 'eligible', stillMay: () => true, giveBack: () => undefined },
+    eligibility: { take: () => 'eligible', mayWrite: () => true, giveBack: () => undefined },
     quarantine: {
-      holds: () => false,
+      isQuarantined: () => false,
       claimTrial: () => Promise.resolve(false),
-      guard: () => () => undefined,
-      decided: () => Promise.resolve(),
+      cancelWhenQuarantined: () => () => undefined,
+      awaitVerdict: () => Promise.resolve(),
       runLost: () => undefined,
       runCompleted: () => undefined,
     },
-    keysHold: () => true,
-    knowledge: () => ({ version: 1, configurationAgeMs: 0, hostsAgeMs: 0 }),
+    areKeysValid: () => true,
+    storeFreshness: () => ({ version: 1, configurationAgeMs: 0, hostsAgeMs: 0 }),
     log,
     counters,
     latencies: new Latencies(),
@@ -190,11 +190,11 @@
     isQuarantined: () => false,
     route,
     service: { name: 's', maxConnections: 100, slowStart: undefined, engine: undefined },
-    homes: { inForce: () => [] },
+    homeRegions: { current: () => [] },
     priority: 1,
     arrivedAt: monotonicMs(),
     deadline: monotonicMs() + route.timeoutMs,
-    gone,
+    callerSignal: gone,
   } as unknown as RequestContext;
   return { context, answer };
 }
--- a/packages/entry/src/testing/day-fleets.ts
+++ b/packages/entry/src/testing/two-model-fleets.ts
@@ -3,7 +3,11 @@
 import { FleetModel } from './fleet-model.js';
 
 /** Creates a profile of a large and a small model; `largeShare` is the large model's share of the work, 0 to 1. */
-export function dayProfile(largeSize: number, smallSize: number, largeShare = 0.4): EngineProfile {
+export function twoModelProfile(
+  largeSize: number,
+  smallSize: number,
+  largeShare = 0.4,
+): EngineProfile {
   const large = { name: 'large', size: largeSize, pace: 1, workShare: largeShare };
   const small = { name: 'small', size: smallSize, pace: 0.6, workShare: 1 - largeShare };
   return {
@@ -19,7 +23,7 @@
 }
 
 /** Sizes of a fleet of three failure domains with three fabric domains each. */
-export type WideFleet = {
+export type NineDomainFleetSizes = {
   /** Hosts in each fabric domain. */
   readonly domainSize: number;
   /** Hosts in a group of the large model. */
@@ -33,12 +37,12 @@
 const FABRIC_DOMAINS = 9;
 
 /** Creates a fleet of these sizes, whose hosts stay cold for 3 s after an evacuation. */
-export function wideFleet(sizes: WideFleet): FleetModel {
+export function nineDomainFleet(sizes: NineDomainFleetSizes): FleetModel {
   const { domainSize, largeSize, smallSize, largeShare } = sizes;
   return new FleetModel({
     domainSizes: Array.from({ length: FABRIC_DOMAINS }, () => domainSize),
     domainsPerFailureDomain: 3,
     coldMs: 3_000,
-    profile: dayProfile(largeSize, smallSize, largeShare),
+    profile: twoModelProfile(largeSize, smallSize, largeShare),
   });
 }
--- a/packages/gateway/src/callers/app.ts
+++ b/packages/gateway/src/callers/app.ts
@@ -121,7 +121,7 @@
   });
   app.get('/metrics', async (_request, response) => {
     services.metrics.gauge('key_records', services.keys.recordCount);
-    services.metrics.gauge('requests_waiting', services.admission.waiting());
+    services.metrics.gauge('requests_waiting', services.admission.waitingCount());
     response.type('text/plain').send(await services.metrics.text());
   });
 }
@@ -142,7 +142,7 @@
 }
 
 function issueKey(services: CallerServices, response: Response): void {
-  const key = services.keys.issue();
+  const key = services.keys.issueKey();
   if (key === undefined) {
     const detail = 'this gateway issues no keys at present';
     throw new ProblemError({
--- a/packages/gateway/src/callers/completions.ts
+++ b/packages/gateway/src/callers/completions.ts
@@ -1,6 +1,6 @@
 /** Completions in the OpenAI shape, stream and plain. */
 import type { CompletionRequest, CompletionShape } from '@hingescale/core';
-import { estimateTokens, keepsLevel, parseCompletion, ProblemError } from '@hingescale/core';
+import { estimateTokens, meetsServiceLevel, parseCompletion, ProblemError } from '@hingescale/core';
 import { monotonicMs, sha256 } from '@hingescale/runtime';
 import type { Request, Response } from 'express';
 
@@ -126,7 +126,7 @@
   const admission = { model, workspace, priority, deadline, gone };
   let permit: Permit | undefined;
   try {
-    permit = await services.admission.enter(admission);
+    permit = await services.admission.admit(admission);
     const waitedMs = monotonicMs() - startedAt;
     services.metrics.histogram('queue_wait').record(waitedMs);
     const admitted: AdmittedRequest = {
@@ -156,6 +156,6 @@
   const { services, context, completion } = call;
   const levels = [...context.configuration.serviceLevels.values()];
   const level = levels.find(candidate => candidate.model === completion.model);
-  const good = level === undefined || keepsLevel(level, firstTokenMs, betweenTokensMs);
+  const good = level === undefined || meetsServiceLevel(level, firstTokenMs, betweenTokensMs);
   services.burn.note(context.workspace, completion.model, good, firstTokenMs);
 }
--- a/packages/gateway/src/callers/request-context.ts
+++ b/packages/gateway/src/callers/request-context.ts
@@ -10,8 +10,8 @@
 import { monotonicMs, newUuid } from '@hingescale/runtime';
 import type { Request, Response } from 'express';
 
-import type { KeyName } from '../keys/key-name.js';
-import { parseKeyName } from '../keys/key-name.js';
+import type { ParsedKey } from '../keys/parsed-key.js';
+import { parseKey } from '../keys/parsed-key.js';
 import { authenticateCaller } from './authenticate.js';
 
 /** A request of a known caller. */
@@ -21,7 +21,7 @@
   readonly configuration: Configuration;
   readonly repeatable: boolean;
   /** Set when deliveries of the request have to be recognised. */
-  readonly key: KeyName | undefined;
+  readonly key: ParsedKey | undefined;
   /** Monotonic milliseconds at which the caller stops waiting. */
   readonly deadline: number;
 };
@@ -59,12 +59,12 @@
   };
 }
 
-function readKey(request: Request, clockSkewMs: number): KeyName | undefined {
+function readKey(request: Request, clockSkewMs: number): ParsedKey | undefined {
   const text = request.headers[IDEMPOTENCY_KEY_HEADER];
   if (text === undefined) {
     return undefined;
   }
-  const name = parseKeyName(String(text));
+  const name = parseKey(String(text));
   if (name === undefined) {
     throw invalidKey('Idempotency-Key must be a UUIDv7 or a key issued by /v1/idempotency-keys');
   }
--- a/packages/gateway/src/domain/controller-task.ts
+++ b/packages/gateway/src/domain/controller-task.ts
@@ -21,7 +21,7 @@
   readonly holder: ConfigurationHolder;
   readonly directory: GroupDirectory;
   /** True while this gateway is stopping, which each poll reports. */
-  readonly leaving: () => boolean;
+  readonly isLeaving: () => boolean;
   readonly usage: () => readonly WorkspaceUsage[];
   /** Number of the cache event from which each group's events are requested, by group id. */
   readonly cacheFrom: () => Readonly<Record<string, number>>;
@@ -30,7 +30,7 @@
 };
 
 /** Events that a `ControllerTask` emits. */
-export type ControllerMessages = {
+export type ControllerEvents = {
   /** A reply, with the monotonic time in milliseconds at which its request was sent. */
   reply: { readonly reply: PollReply; readonly sentAt: number };
 };
@@ -39,7 +39,7 @@
 const MAX_SILENT_PERIODS = 3;
 
 /** Polls one controller at a time and stays with the one that certifies groups. */
-export class ControllerTask extends Task<ControllerMessages> {
+export class ControllerTask extends Task<ControllerEvents> {
   readonly #pollSleep = new WakeableSleep();
   readonly #options: ControllerTaskOptions;
   #currentAddress: string;
@@ -54,12 +54,12 @@
   }
 
   /** True while a controller certifies the groups of the failure domain. */
-  get led(): boolean {
+  get hasCertifyingController(): boolean {
     return monotonicMs() - this.#lastVouchingAt < this.#options.periodMs * MAX_SILENT_PERIODS;
   }
 
   /** Polls all controllers once, so that a new process receives the highest revision that any of them has. */
-  async askAll(): Promise<void> {
+  async pollAll(): Promise<void> {
     const { controllers } = this.#options;
     await Promise.all(controllers.map(address => this.#poll(address)));
   }
@@ -102,7 +102,7 @@
       holder.offer(reply.configuration);
     }
     if (reply.evacuations !== undefined) {
-      directory.takeEvacuations(reply.evacuations);
+      directory.applyEvacuations(reply.evacuations);
     }
     this.#sendConfiguration = reply.wantConfiguration;
     if (!reply.vouching) {
@@ -111,9 +111,9 @@
     this.#currentAddress = address;
     this.#lastVouchingAt = sentAt;
     reply.views.forEach(view => {
-      directory.takeView(view);
+      directory.replaceView(view);
     });
-    directory.takeCertificates(reply.certificates, sentAt);
+    directory.storeCertificates(reply.certificates, sentAt);
     await this.messages.emit('reply', { reply, sentAt });
     return true;
   }
@@ -134,7 +134,15 @@
   }
 
   #request(): PollRequest {
-    const { instance, failureDomain, holder, directory, address, leaving, usage } = this.#options;
+    const {
+      instance,
+      failureDomain,
+      holder,
+      directory,
+      address,
+      isLeaving: leaving,
+      usage,
+    } = this.#options;
     return {
       instance,
       address: address(),
--- a/packages/gateway/src/domain/evacuated-domains.test.ts
+++ b/packages/gateway/src/domain/evacuated-domains.test.ts
@@ -13,18 +13,18 @@
   it('allow no requests until a list of orders, even an empty one, is received', () => {
     const domains = new EvacuatedDomains(silentLog());
     expect(domains.mayReceive('a')).to.equal(false);
-    domains.take([]);
+    domains.applyOrders([]);
     expect(domains.mayReceive('a')).to.equal(true);
   });
 
   it('keep the newest order when an older one arrives', () => {
     const domains = new EvacuatedDomains(silentLog());
-    domains.take([order('a', 5, true)]);
-    domains.take([order('a', 3, false)]);
-    domains.take([]);
+    domains.applyOrders([order('a', 5, true)]);
+    domains.applyOrders([order('a', 3, false)]);
+    domains.applyOrders([]);
     expect(domains.mayReceive('a')).to.equal(false);
     expect(domains.mayReceive('b')).to.equal(true);
-    domains.take([order('a', 8, false)]);
+    domains.applyOrders([order('a', 8, false)]);
     expect(domains.mayReceive('a')).to.equal(true);
   });
 });
--- a/packages/gateway/src/domain/evacuated-domains.ts
+++ b/packages/gateway/src/domain/evacuated-domains.ts
@@ -16,7 +16,7 @@
   }
 
   /** Applies all orders that a controller sent or that were read from the platform; the list may be empty. */
-  take(orders: readonly VersionedEvacuation[]): void {
+  applyOrders(orders: readonly VersionedEvacuation[]): void {
     this.#hasReceivedOrders = true;
     for (const order of orders) {
       const { failureDomain, evacuated, operator } = order.evacuation;
--- a/packages/gateway/src/domain/fallback-task.ts
+++ b/packages/gateway/src/domain/fallback-task.ts
@@ -32,7 +32,7 @@
   /** Longest time a watch request waits for a change, in milliseconds. */
   readonly watchWaitMs: number;
   /** True while a controller certifies groups, so that this task stays inactive. */
-  readonly led: () => boolean;
+  readonly hasCertifyingController: () => boolean;
   readonly log: Log;
   readonly metrics: Metrics;
 };
@@ -60,7 +60,7 @@
 
   /** Starts to check whether the fallback is needed. */
   start(): void {
-    const { probeMs, led } = this.#options;
+    const { probeMs, hasCertifyingController: led } = this.#options;
     this.run(async () => {
       while (!this.stopped) {
         if (led()) {
@@ -100,7 +100,7 @@
     this.#prober = undefined;
     this.#watchers = undefined;
     this.#options.log.info('fallback stopped: a controller certifies groups, or the gateway stops');
-    this.#options.directory.takeLeaving(LEAVING_SOURCE, []);
+    this.#options.directory.replaceLeavingHosts(LEAVING_SOURCE, []);
     await Promise.all([prober, ...Object.values(watchers)].map(task => task.stop()));
   }
 
@@ -125,19 +125,19 @@
     const configuration = holder.configuration;
     const watchers = this.#watchers;
     if (watchers?.evacuations.synced === true) {
-      directory.takeEvacuations(versioned(watchers.evacuations.objects.values()));
+      directory.applyEvacuations(versioned(watchers.evacuations.objects.values()));
     }
     if (watchers === undefined || configuration === undefined || !watchers.hosts.synced) {
       return;
     }
     const domainHosts = watchers.hosts.hosts.filter(host => host.failureDomain === failureDomain);
     const leaving = domainHosts.filter(host => host.state === 'leaving').map(host => host.address);
-    directory.takeLeaving(LEAVING_SOURCE, leaving);
+    directory.replaceLeavingHosts(LEAVING_SOURCE, leaving);
     if (watchers.ledgers.synced) {
       const ledgers = [...watchers.ledgers.objects.values()].map(object => object.value);
       const view = buildView(failureDomain, configuration, domainHosts, ledgers);
       if (view.version !== directory.view(failureDomain)?.version) {
-        directory.takeView(view);
+        directory.replaceView(view);
       }
     }
   }
@@ -154,6 +154,6 @@
       const remainingMs = (expiry ?? 0) - now;
       return remainingMs > 0 ? [{ group: group.id, epoch: group.epoch, remainingMs }] : [];
     });
-    directory.takeCertificates(certificates, now);
+    directory.storeCertificates(certificates, now);
   }
 }
--- a/packages/gateway/src/domain/group-directory.test.ts
+++ b/packages/gateway/src/domain/group-directory.test.ts
@@ -24,10 +24,10 @@
     const log = { info: () => undefined, warn: () => undefined } as unknown as Log;
     resumedAt = -Infinity;
     directory = new GroupDirectory(log, new Metrics(), () => resumedAt);
-    directory.takeView(VIEW);
-    directory.takeEvacuations([]);
+    directory.replaceView(VIEW);
+    directory.applyEvacuations([]);
     const certificate = { group: 'g1', epoch: 1, remainingMs: CERTIFICATE_MS };
-    directory.takeCertificates([certificate], monotonicMs());
+    directory.storeCertificates([certificate], monotonicMs());
   });
 
   afterEach(() => {
--- a/packages/gateway/src/domain/group-directory.ts
+++ b/packages/gateway/src/domain/group-directory.ts
@@ -14,7 +14,7 @@
 import { EvacuatedDomains } from './evacuated-domains.js';
 
 /** Events that a `GroupDirectory` emits. */
-export type DirectoryMessages = {
+export type DirectoryEvents = {
   /** A certificate expired or was dropped: streams on that group must end at once. */
   lapsed: { readonly group: GroupId; readonly epoch: number };
   /** Groups, certificates or leaving hosts changed. */
@@ -36,7 +36,7 @@
 
 /** Stores views and certificates. A group without a valid certificate is not used. */
 export class GroupDirectory {
-  readonly messages = new Emittery<DirectoryMessages>();
+  readonly messages = new Emittery<DirectoryEvents>();
   readonly #log: Log;
   readonly #metrics: Metrics;
   readonly #resumedAt: () => number;
@@ -79,7 +79,7 @@
   }
 
   /** Replaces the view of a failure domain and drops the certificates that it invalidates. */
-  takeView(view: DomainView): void {
+  replaceView(view: DomainView): void {
     this.#views.set(view.failureDomain, view);
     this.#leavingBySource.set(view.failureDomain, new Set(view.leaving));
     for (const [id, group] of this.#groups) {
@@ -100,7 +100,7 @@
   }
 
   /** Stores certificates; their remaining times count from `sentAt`, when they were requested (monotonic ms). */
-  takeCertificates(certificates: readonly Certificate[], sentAt: number): void {
+  storeCertificates(certificates: readonly Certificate[], sentAt: number): void {
     this.#answeredRequestSentAt = Math.max(this.#answeredRequestSentAt, sentAt);
     for (const { group, epoch, remainingMs } of certificates) {
       const expiresAt = sentAt + remainingMs;
@@ -121,14 +121,14 @@
   }
 
   /** Replaces the addresses of leaving hosts that a source other than a view reports. */
-  takeLeaving(source: string, addresses: readonly string[]): void {
+  replaceLeavingHosts(source: string, addresses: readonly string[]): void {
     this.#leavingBySource.set(source, new Set(addresses));
     void this.messages.emit('changed');
   }
 
   /** Applies all evacuation orders that a controller or the platform sent. */
-  takeEvacuations(orders: readonly VersionedEvacuation[]): void {
-    this.#evacuatedDomains.take(orders);
+  applyEvacuations(orders: readonly VersionedEvacuation[]): void {
+    this.#evacuatedDomains.applyOrders(orders);
     void this.messages.emit('changed');
   }
 
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -29,8 +29,8 @@
 import type { GatewaySettings } from './gateway-settings.js';
 import { KeyTask } from './keys/key-task.js';
 import { Admission } from './limits/admission.js';
+import { PeerUsage } from './limits/peer-usage.js';
 import { GatewayPolicies } from './limits/policies.js';
-import { UsageElsewhere } from './limits/usage-elsewhere.js';
 import { BurnRecorder } from './reports/burn-recorder.js';
 import { EngineClient } from './requests/engine-client.js';
 import { RetryBudget } from './requests/retry-budget.js';
@@ -58,7 +58,7 @@
   readonly #engine: EngineClient;
   readonly #services: ServiceClient;
   readonly #policies: GatewayPolicies;
-  readonly #elsewhere = new UsageElsewhere();
+  readonly #elsewhere = new PeerUsage();
   readonly #prefixes = new PrefixIndex();
   readonly #burn = new BurnRecorder();
   readonly #admission: Admission;
@@ -106,11 +106,11 @@
       random: xoroshiro128plus(randomInt(MAX_SEED)),
     });
     this.#admission = new Admission({
-      queueLength: limits['queue-length'],
+      maxQueueLength: limits['queue-length'],
       capacity: model => this.#capacity(model),
-      returnLeftMs: model => this.#directory.renewalLeftMs(model),
+      expectedReturnMs: model => this.#directory.renewalLeftMs(model),
       share: (workspace, model) => this.#share(workspace, model),
-      elsewhere: (workspace, model) => this.#elsewhere.running(workspace, model),
+      runningAtOtherGateways: (workspace, model) => this.#elsewhere.running(workspace, model),
       metrics: this.#metrics,
     });
   }
@@ -142,7 +142,7 @@
       this.#admission.refresh();
     });
     // A fresh process takes the highest revision around before it reports ready.
-    await Promise.all([this.#controllers.askAll(), this.#readPlatform()]);
+    await Promise.all([this.#controllers.pollAll(), this.#readPlatform()]);
     this.#controllers.start();
     this.#fallback = this.#makeFallback();
     this.#fallback.start();
@@ -159,8 +159,8 @@
     const drained = this.#http?.drain();
     await this.#leaveKeys();
     await Promise.race([drained, sleep(timing['drain-ms'])]);
-    await this.#keys?.settled();
-    await this.#keys?.handedOver();
+    await this.#keys?.settlementsDone();
+    await this.#keys?.handoversDone();
     this.#log.info('gateway drained');
   }
 
@@ -226,7 +226,7 @@
       links: this.#links,
       holder: this.#holder,
       directory: this.#directory,
-      leaving: () => this.#leaving,
+      isLeaving: () => this.#leaving,
       usage: (): WorkspaceUsage[] => this.#admission.usage(),
       cacheFrom: () => this.#prefixes.cursors(),
       log: this.#log,
@@ -249,17 +249,17 @@
       probeMs: timing['probe-ms'],
       certificateMs: timing['certificate-ms'],
       watchWaitMs: platform['watch-wait-ms'],
-      led: () => this.#controllers?.led ?? false,
+      hasCertifyingController: () => this.#controllers?.hasCertifyingController ?? false,
       log: this.#log,
       metrics: this.#metrics,
     });
   }
 
   #takeReply(reply: PollReply, sentAt: number): void {
-    this.#router.takeLoads(reply.loads);
-    this.#prefixes.take(reply.cacheEvents);
-    this.#elsewhere.take(reply.usage);
-    this.#keys?.takeGrants(reply.keys, sentAt);
+    this.#router.applyLoadReports(reply.loads);
+    this.#prefixes.applyEvents(reply.cacheEvents);
+    this.#elsewhere.replaceAll(reply.usage);
+    this.#keys?.applyGrants(reply.keys, sentAt);
     this.#admission.refresh();
   }
 
@@ -316,13 +316,13 @@
   async #leaveKeys(): Promise<void> {
     const keys = this.#keys;
     this.#leaving = true;
-    keys?.leave();
+    keys?.startLeaving();
     this.#controllers?.pollNow();
     const until = monotonicMs() + HANDOVER_WAIT_MS;
-    while (keys?.listed === true && monotonicMs() < until) {
+    while (keys?.isKeyOwner === true && monotonicMs() < until) {
       await sleep(HANDOVER_CHECK_MS);
     }
-    await keys?.handedOver();
+    await keys?.handoversDone();
   }
 
   #failureDomains(): readonly FailureDomainId[] {
--- a/packages/gateway/src/keys/key-messages.ts
+++ b/packages/gateway/src/keys/key-messages.ts
@@ -50,7 +50,7 @@
 };
 
 /** A record as it is sent to a new owner. */
-export type HandedRecord = {
+export type HandoverRecord = {
   readonly id: string;
   readonly fingerprint: string;
   readonly claim: string;
@@ -68,12 +68,12 @@
   readonly from: string;
   /** Epoch of the key table whose change caused the handover. */
   readonly epoch: number;
-  readonly records: readonly HandedRecord[];
-  readonly completeness: HandedCompleteness | undefined;
+  readonly records: readonly HandoverRecord[];
+  readonly completeness: HandoverCompleteness | undefined;
 };
 
 /** Since when, and for which issuing gateways, the sender's records of the keys it owned are complete. */
-export type HandedCompleteness = {
+export type HandoverCompleteness = {
   /** Wall time in milliseconds; undefined if the records have always been complete. */
   readonly knownSince: number | undefined;
   /** Gateways that have left the key table and whose issued keys are covered too. */
--- a/packages/gateway/src/keys/key-ownership.test.ts
+++ b/packages/gateway/src/keys/key-ownership.test.ts
@@ -3,8 +3,8 @@
 import { loadHash, newUuid } from '@hingescale/runtime';
 import { expect } from 'chai';
 
-import { parseKeyName } from './key-name.js';
 import { KeyOwnership } from './key-ownership.js';
+import { parseKey } from './parsed-key.js';
 
 const LEASE_MS = 1_000;
 const SKEW_MS = 100;
@@ -27,7 +27,7 @@
 // Returns a new key that has the given owner in each of the given sets of instances.
 function keyOwnedBy(...path: readonly (readonly [string, readonly string[]])[]) {
   for (;;) {
-    const name = parseKeyName(newUuid());
+    const name = parseKey(newUuid());
     if (name && path.every(([owner, set]) => ownerOf(name.text, set, hash) === owner)) {
       return name;
     }
@@ -45,37 +45,37 @@
   it('a handover from one owner does not cover the keys of another', () => {
     const [, joined] = tables(two, three);
     const joiner = ownership('c');
-    joiner.take(joined, LEASE_MS, 0);
-    joiner.noteHandover(joined.epoch, 'a', COMPLETE);
+    joiner.applyTable(joined, LEASE_MS, 0);
+    joiner.recordHandover(joined.epoch, 'a', COMPLETE);
     const ofA = keyOwnedBy(['a', two], ['c', three]);
     const ofB = keyOwnedBy(['b', two], ['c', three]);
-    expect(joiner.judge(ofA, 1).kind).to.equal('own');
-    expect(joiner.judge(ofB, 1).kind).to.equal('unsure');
-    joiner.take({ ...joined }, 10 * LEASE_MS, 5 * LEASE_MS);
-    expect(joiner.judge(ofB, 5 * LEASE_MS).kind).to.equal('lost');
+    expect(joiner.checkOwnership(ofA, 1).kind).to.equal('own');
+    expect(joiner.checkOwnership(ofB, 1).kind).to.equal('unsure');
+    joiner.applyTable({ ...joined }, 10 * LEASE_MS, 5 * LEASE_MS);
+    expect(joiner.checkOwnership(ofB, 5 * LEASE_MS).kind).to.equal('lost');
   });
 
   it('an owner with incomplete records does not hand them over as complete', () => {
     const [, joined, left] = tables(two, three, ['a', 'c']);
     const owner = ownership('c');
-    owner.take(joined, LEASE_MS, 0);
-    owner.noteHandover(joined.epoch, 'a', COMPLETE);
-    owner.take(left, 2 * LEASE_MS, 1);
+    owner.applyTable(joined, LEASE_MS, 0);
+    owner.recordHandover(joined.epoch, 'a', COMPLETE);
+    owner.applyTable(left, 2 * LEASE_MS, 1);
     expect(owner.completeness.knownSince).to.be.greaterThan(Date.now());
   });
 
   it('ownership expires when it is not confirmed', () => {
     const [first] = tables(['a']);
     const owner = ownership('a');
-    owner.take(first, LEASE_MS, 0);
+    owner.applyTable(first, LEASE_MS, 0);
     const key = keyOwnedBy(['a', ['a']]);
-    expect(owner.judge(key, LEASE_MS - 1).kind).to.equal('own');
-    expect(owner.judge(key, LEASE_MS).kind).to.equal('unsure');
+    expect(owner.checkOwnership(key, LEASE_MS - 1).kind).to.equal('own');
+    expect(owner.checkOwnership(key, LEASE_MS).kind).to.equal('unsure');
   });
 
   it('an issued key gets one new owner, which needs a handover from its home', () => {
     const [, rest] = tables(three, two);
-    const name = parseKeyName(`${newUuid()}~d~c`);
+    const name = parseKey(`${newUuid()}~d~c`);
     if (name === undefined) {
       throw new Error('not a key');
     }
@@ -84,13 +84,13 @@
     const fromHome = { knownSince: -Infinity, homes: new Set(['c']) };
     for (const instance of two) {
       const owner = ownership(instance);
-      owner.take(rest, LEASE_MS, 0);
-      owner.noteHandover(rest.epoch, 'c', fromHome);
-      expect(owner.judge(name, 1).kind).to.equal(instance === newOwner ? 'own' : 'other');
+      owner.applyTable(rest, LEASE_MS, 0);
+      owner.recordHandover(rest.epoch, 'c', fromHome);
+      expect(owner.checkOwnership(name, 1).kind).to.equal(instance === newOwner ? 'own' : 'other');
     }
     const uninformed = ownership(newOwner);
-    uninformed.take(rest, 10 * LEASE_MS, 0);
-    uninformed.noteHandover(rest.epoch, other, COMPLETE);
-    expect(uninformed.judge(name, 5 * LEASE_MS).kind).to.equal('lost');
+    uninformed.applyTable(rest, 10 * LEASE_MS, 0);
+    uninformed.recordHandover(rest.epoch, other, COMPLETE);
+    expect(uninformed.checkOwnership(name, 5 * LEASE_MS).kind).to.equal('lost');
   });
 });
--- a/packages/gateway/src/keys/key-ownership.ts
+++ b/packages/gateway/src/keys/key-ownership.ts
@@ -11,7 +11,7 @@
 import type { HashFunction, KeyOwner, KeyOwnerTable, PreviousOwners } from '@hingescale/core';
 import { ownerOf } from '@hingescale/core';
 
-import type { KeyName } from './key-name.js';
+import type { ParsedKey } from './parsed-key.js';
 
 /** Time limit for the answer to a claim, in milliseconds. */
 export const CLAIM_TIMEOUT_MS = 1_000;
@@ -80,7 +80,7 @@
   }
 
   /** True when this gateway owned keys in the previous epoch. */
-  get ownedBefore(): boolean {
+  get ownedInPreviousEpoch(): boolean {
     return this.#previous?.instances.includes(this.#options.instance) ?? false;
   }
 
@@ -88,7 +88,7 @@
    * Applies a table that is confirmed until `confirmedUntil`; returns true when its epoch is new.
    * `confirmedUntil` and `now` are monotonic times in milliseconds.
    */
-  take(table: KeyOwnerTable, confirmedUntil: number, now: number): boolean {
+  applyTable(table: KeyOwnerTable, confirmedUntil: number, now: number): boolean {
     const epoch = this.#table?.epoch ?? -1;
     if (table.epoch <= epoch) {
       if (table.epoch === epoch) {
@@ -104,14 +104,14 @@
   }
 
   /** Records that the whole handover of a sender for an epoch has been received. */
-  noteHandover(epoch: number, from: string, completeness: Completeness): void {
+  recordHandover(epoch: number, from: string, completeness: Completeness): void {
     const bySender = this.#handovers.get(epoch) ?? new Map<string, Completeness>();
     bySender.set(from, completeness);
     this.#handovers.set(epoch, bySender);
   }
 
   /** Determines who owns a key at `now` (monotonic milliseconds) and whether a claim can be decided here. */
-  judge(key: KeyName, now: number): Ownership {
+  checkOwnership(key: ParsedKey, now: number): Ownership {
     if (key.home?.instance === this.#options.instance) {
       return { kind: 'own' };
     }
@@ -123,7 +123,7 @@
         retryAfterMs: UNCONFIRMED_RETRY_MS,
       };
     }
-    const owner = this.#homeOwnerIn(table, key) ?? this.ownerIn(table, key.text);
+    const owner = this.#homeOwnerIn(table, key) ?? this.ownerByHash(table, key.text);
     if (owner !== undefined && owner.instance !== this.#options.instance) {
       return { kind: 'other', owner };
     }
@@ -135,18 +135,18 @@
   }
 
   /** The owner of a key by the hash over the owners in a table. */
-  ownerIn(table: KeyOwnerTable, key: string): KeyOwner | undefined {
+  ownerByHash(table: KeyOwnerTable, key: string): KeyOwner | undefined {
     const instances = table.owners.map(owner => owner.instance);
     const instance = ownerOf(key, instances, this.#options.hash);
     return table.owners.find(owner => owner.instance === instance);
   }
 
   // A gateway that is listed in the table owns all keys that it issued.
-  #homeOwnerIn(table: KeyOwnerTable, key: KeyName): KeyOwner | undefined {
+  #homeOwnerIn(table: KeyOwnerTable, key: ParsedKey): KeyOwner | undefined {
     return table.owners.find(owner => owner.instance === key.home?.instance);
   }
 
-  #checkCompleteness(key: KeyName, now: number): Ownership {
+  #checkCompleteness(key: ParsedKey, now: number): Ownership {
     const home = key.home?.instance;
     const previousOwner = this.#previousOwnerOf(key);
     const known =
@@ -167,7 +167,7 @@
   }
 
   // The owner in the previous epoch: for issued keys their home while it was listed, else the owner by hash.
-  #previousOwnerOf(key: KeyName): string | undefined {
+  #previousOwnerOf(key: ParsedKey): string | undefined {
     const instances = this.#previous?.instances ?? [];
     const home = key.home?.instance;
     if (home !== undefined && instances.includes(home)) {
--- a/packages/gateway/src/keys/key-records.ts
+++ b/packages/gateway/src/keys/key-records.ts
@@ -4,7 +4,7 @@
 import type {
   ClaimReply,
   ClaimRequest,
-  HandedRecord,
+  HandoverRecord,
   KeyOutcome,
   SettleRequest,
   StoredAnswer,
@@ -50,7 +50,7 @@
   /** Answers a claim; only the first claim of a key may run. */
   claim(request: ClaimRequest): ClaimReply {
     this.#dropExpired();
-    const reply = this.lookUp(request);
+    const reply = this.replyFromRecord(request);
     if (reply !== undefined) {
       return reply;
     }
@@ -59,7 +59,7 @@
   }
 
   /** The reply that the record of a key gives to a claim; undefined without a record. */
-  lookUp(request: ClaimRequest): ClaimReply | undefined {
+  replyFromRecord(request: ClaimRequest): ClaimReply | undefined {
     const record = this.#records.get(recordId(request.workspace, request.key));
     if (record === undefined) {
       return undefined;
@@ -78,7 +78,7 @@
   }
 
   /** Exports the records of the keys that `select` accepts, for a new owner. */
-  handOver(select: (key: string) => boolean): HandedRecord[] {
+  exportRecords(select: (key: string) => boolean): HandoverRecord[] {
     const now = monotonicMs();
     return [...this.#records]
       .filter(([id]) => select(keyOfRecord(id)))
@@ -95,7 +95,7 @@
   }
 
   /** Imports records of an earlier owner. A record that exists here stays, unless only the imported one is done. */
-  takeOver(records: readonly HandedRecord[]): void {
+  importRecords(records: readonly HandoverRecord[]): void {
     const now = monotonicMs();
     for (const { id, keepMs, runMs, ...rest } of records) {
       const known = this.#records.get(id);
--- a/packages/gateway/src/keys/key-task.ts
+++ b/packages/gateway/src/keys/key-task.ts
@@ -9,17 +9,17 @@
 import type {
   ClaimReply,
   ClaimRequest,
-  HandedCompleteness,
-  HandedRecord,
+  HandoverCompleteness,
+  HandoverRecord,
   HandoverRequest,
   KeyOutcome,
   SettleRequest,
 } from './key-messages.js';
-import type { KeyName } from './key-name.js';
-import { issueKeyName, parseKeyName } from './key-name.js';
 import type { Ownership } from './key-ownership.js';
 import { CLAIM_TIMEOUT_MS, KeyOwnership } from './key-ownership.js';
 import { KeyRecords } from './key-records.js';
+import type { ParsedKey } from './parsed-key.js';
+import { formatIssuedKey, parseKey } from './parsed-key.js';
 
 /** Settings and collaborators of a `KeyTask`. */
 export type KeyTaskOptions = {
@@ -41,7 +41,7 @@
 
 /** A claim that the owner granted. */
 export type GrantedClaim = {
-  readonly name: KeyName;
+  readonly name: ParsedKey;
   readonly request: ClaimRequest;
 };
 
@@ -92,18 +92,18 @@
   }
 
   /** True while the key table lists this gateway as an owner. */
-  get listed(): boolean {
+  get isKeyOwner(): boolean {
     const owners = this.#ownership.table?.owners ?? [];
     return owners.some(owner => owner.instance === this.#options.instance);
   }
 
   /** Applies the key tables of a poll reply; their remaining times count from `sentAt` (monotonic milliseconds). */
-  takeGrants(grants: readonly KeyGrant[], sentAt: number): void {
+  applyGrants(grants: readonly KeyGrant[], sentAt: number): void {
     for (const grant of grants) {
       this.#grants.set(grant.failureDomain, grant);
       if (grant.failureDomain === this.#options.failureDomain) {
         const confirmedUntil = sentAt + grant.remainingMs;
-        if (this.#ownership.take(grant.table, confirmedUntil, monotonicMs())) {
+        if (this.#ownership.applyTable(grant.table, confirmedUntil, monotonicMs())) {
           this.#startHandovers();
         }
       }
@@ -111,14 +111,14 @@
   }
 
   /** Issues a key whose home is this gateway; undefined unless the key table lists it and it is not leaving. */
-  issue(): string | undefined {
+  issueKey(): string | undefined {
     const { instance, failureDomain } = this.#options;
-    const ready = this.listed && !this.#leaving;
-    return ready ? issueKeyName(newUuid(), { failureDomain, instance }) : undefined;
+    const ready = this.isKeyOwner && !this.#leaving;
+    return ready ? formatIssuedKey(newUuid(), { failureDomain, instance }) : undefined;
   }
 
   /** Asks the owner of a key whether the request may run; retries while that cannot be decided. */
-  async claim(name: KeyName, request: ClaimRequest): Promise<ClaimReply> {
+  async claim(name: ParsedKey, request: ClaimRequest): Promise<ClaimReply> {
     let reply: ClaimReply = await this.#claimOnce(name, request);
     for (let attempt = 1; attempt < CLAIM_ATTEMPTS && isRetryable(reply); attempt++) {
       await sleep(CLAIM_PAUSE_MS, this.signal);
@@ -129,7 +129,7 @@
   }
 
   /** Reports the outcome of a run to the owner; after a failure it retries in the background. */
-  async settle(name: KeyName, request: ClaimRequest, outcome: KeyOutcome): Promise<void> {
+  async settle(name: ParsedKey, request: ClaimRequest, outcome: KeyOutcome): Promise<void> {
     const { workspace, key, claim } = request;
     const settlement: SettleRequest = { workspace, key, claim, outcome };
     if (!(await this.#settleOnce(name, settlement))) {
@@ -141,7 +141,7 @@
 
   /** Answers a claim from another gateway. */
   answerClaim(request: ClaimRequest): ClaimReply {
-    const name = parseKeyName(request.key);
+    const name = parseKey(request.key);
     if (name === undefined) {
       return {
         kind: 'unknown',
@@ -155,8 +155,8 @@
   /** Applies a settlement; forwards it to the owner if the key has moved. */
   async answerSettle(request: SettleRequest): Promise<void> {
     this.#records.settle(request);
-    const name = parseKeyName(request.key);
-    const ownership = name && this.#ownership.judge(name, monotonicMs());
+    const name = parseKey(request.key);
+    const ownership = name && this.#ownership.checkOwnership(name, monotonicMs());
     if (ownership?.kind === 'other') {
       const { links } = this.#options;
       await links
@@ -167,10 +167,10 @@
 
   /** Adds the records that an earlier owner hands over. */
   answerHandover(request: HandoverRequest): void {
-    this.#records.takeOver(request.records);
+    this.#records.importRecords(request.records);
     const { completeness, epoch, from } = request;
     if (completeness !== undefined) {
-      this.#ownership.noteHandover(epoch, from, {
+      this.#ownership.recordHandover(epoch, from, {
         knownSince: completeness.knownSince ?? -Infinity,
         homes: new Set(completeness.homes),
       });
@@ -179,24 +179,24 @@
   }
 
   /** Hands over issued keys too from now on. Call it before the last poll of a planned stop. */
-  leave(): void {
+  startLeaving(): void {
     this.#leaving = true;
   }
 
   /** Resolves when all settlements that were started have succeeded or been given up. */
-  async settled(): Promise<void> {
+  async settlementsDone(): Promise<void> {
     await Promise.all([...this.#settling]);
   }
 
   /** Resolves when all handovers that were started have succeeded or been given up. */
-  async handedOver(): Promise<void> {
+  async handoversDone(): Promise<void> {
     await Promise.all([...this.#handovers]);
   }
 
-  async #claimOnce(name: KeyName, request: ClaimRequest): Promise<ClaimReply> {
+  async #claimOnce(name: ParsedKey, request: ClaimRequest): Promise<ClaimReply> {
     const domain = this.#ownerDomainOf(name);
     if (domain === this.#options.failureDomain) {
-      const ownership = this.#ownership.judge(name, monotonicMs());
+      const ownership = this.#ownership.checkOwnership(name, monotonicMs());
       return ownership.kind === 'other'
         ? this.#askOwner(ownership.owner, request)
         : this.#decide(name, request);
@@ -221,13 +221,13 @@
     }
   }
 
-  #decide(name: KeyName, request: ClaimRequest): ClaimReply {
+  #decide(name: ParsedKey, request: ClaimRequest): ClaimReply {
     const { keyMemoryMs, clockSkewMs } = this.#options;
     const wallMs = Date.now();
     if (name.time < wallMs - keyMemoryMs + clockSkewMs) {
       return { kind: 'too-old' };
     }
-    const ownership = this.#ownership.judge(name, monotonicMs());
+    const ownership = this.#ownership.checkOwnership(name, monotonicMs());
     switch (ownership.kind) {
       case 'own':
         return this.#leaving
@@ -246,11 +246,11 @@
       case 'unsure':
       case 'lost':
         // An existing record is valid even if the records as a whole are incomplete.
-        return this.#records.lookUp(request) ?? unknownReply(ownership);
+        return this.#records.replyFromRecord(request) ?? unknownReply(ownership);
     }
   }
 
-  #ownerDomainOf(name: KeyName): string {
+  #ownerDomainOf(name: ParsedKey): string {
     const { failureDomains, hash, failureDomain } = this.#options;
     if (name.home !== undefined) {
       return name.home.failureDomain;
@@ -258,17 +258,19 @@
     return ownerOf(name.text, failureDomains(), hash) ?? failureDomain;
   }
 
-  #remoteOwner(domain: string, name: KeyName): KeyOwner | undefined {
+  #remoteOwner(domain: string, name: ParsedKey): KeyOwner | undefined {
     const table = this.#grants.get(domain)?.table;
     const home = table?.owners.find(owner => owner.instance === name.home?.instance);
-    return table === undefined ? undefined : (home ?? this.#ownership.ownerIn(table, name.text));
+    return table === undefined
+      ? undefined
+      : (home ?? this.#ownership.ownerByHash(table, name.text));
   }
 
-  async #settleOnce(name: KeyName, request: SettleRequest): Promise<boolean> {
+  async #settleOnce(name: ParsedKey, request: SettleRequest): Promise<boolean> {
     const domain = this.#ownerDomainOf(name);
     const ownership =
       domain === this.#options.failureDomain
-        ? this.#ownership.judge(name, monotonicMs())
+        ? this.#ownership.checkOwnership(name, monotonicMs())
         : undefined;
     const owner = ownership?.kind === 'other' ? ownership.owner : undefined;
     const target = ownership === undefined ? this.#remoteOwner(domain, name) : owner;
@@ -285,7 +287,7 @@
     }
   }
 
-  async #settleLater(name: KeyName, request: SettleRequest): Promise<void> {
+  async #settleLater(name: ParsedKey, request: SettleRequest): Promise<void> {
     for (let attempt = 0; attempt < SETTLE_ATTEMPTS && !this.stopped; attempt++) {
       await sleep(SETTLE_PAUSE_MS, this.signal);
       if (await this.#settleOnce(name, request)) {
@@ -298,7 +300,7 @@
   // Every other owner is sent a handover, even an empty one: it states that no record was left out.
   #startHandovers(): void {
     const table = this.#ownership.table;
-    if (table === undefined || !this.#ownership.ownedBefore) {
+    if (table === undefined || !this.#ownership.ownedInPreviousEpoch) {
       return;
     }
     const { instance, log } = this.#options;
@@ -306,7 +308,7 @@
       if (owner.instance === instance) {
         continue;
       }
-      const records = this.#records.handOver(key => this.#movesTo(owner, key));
+      const records = this.#records.exportRecords(key => this.#movesTo(owner, key));
       log.message('key', 'handover');
       const sending = this.#sendHandover(owner, table.epoch, records);
       this.#handovers.add(sending);
@@ -314,9 +316,9 @@
     }
   }
 
-  #completeness(): HandedCompleteness {
+  #completeness(): HandoverCompleteness {
     const { knownSince, homes } = this.#ownership.completeness;
-    const departed = this.#leaving && !this.listed ? [this.#options.instance] : [];
+    const departed = this.#leaving && !this.isKeyOwner ? [this.#options.instance] : [];
     return {
       knownSince: Number.isFinite(knownSince) ? knownSince : undefined,
       homes: [...homes, ...departed],
@@ -325,7 +327,7 @@
 
   #movesTo(owner: KeyOwner, key: string): boolean {
     const table = this.#ownership.table;
-    const name = parseKeyName(key);
+    const name = parseKey(key);
     if (table === undefined || name === undefined) {
       return false;
     }
@@ -333,14 +335,14 @@
     if (issuedHere && !this.#leaving) {
       return false;
     }
-    return this.#ownership.ownerIn(table, key)?.instance === owner.instance;
+    return this.#ownership.ownerByHash(table, key)?.instance === owner.instance;
   }
 
   // Only the last part carries the completeness, so that an interrupted handover claims none.
   async #sendHandover(
     owner: KeyOwner,
     epoch: number,
-    records: readonly HandedRecord[],
+    records: readonly HandoverRecord[],
   ): Promise<void> {
     const from = this.#options.instance;
     const completeness = this.#completeness();
@@ -370,8 +372,8 @@
 }
 
 /** Splits records into parts that fit into a frame; returns at least one part, which may be empty. */
-function splitRecords(records: readonly HandedRecord[]): HandedRecord[][] {
-  const parts: HandedRecord[][] = [[]];
+function splitRecords(records: readonly HandoverRecord[]): HandoverRecord[][] {
+  const parts: HandoverRecord[][] = [[]];
   let size = 0;
   for (const record of records) {
     const recordSize = RECORD_OVERHEAD_BYTES + (record.answer?.body.length ?? 0);
--- a/packages/gateway/src/keys/key-name.ts
+++ b/packages/gateway/src/keys/parsed-key.ts
@@ -11,7 +11,7 @@
 };
 
 /** A parsed idempotency key. */
-export type KeyName = {
+export type ParsedKey = {
   readonly text: string;
   /** Wall time in milliseconds at which the key was made. */
   readonly time: number;
@@ -22,7 +22,7 @@
 const SEPARATOR = '~';
 
 /** Parses a key; returns undefined when it is neither a UUIDv7 nor an issued key. */
-export function parseKeyName(text: string): KeyName | undefined {
+export function parseKey(text: string): ParsedKey | undefined {
   const [uuid, failureDomain, instance, ...rest] = text.split(SEPARATOR);
   const time = uuidV7Time(uuid);
   if (time === undefined || rest.length > 0) {
@@ -35,6 +35,6 @@
 }
 
 /** Formats a key that a gateway issues. */
-export function issueKeyName(uuid: string, home: KeyHome): string {
+export function formatIssuedKey(uuid: string, home: KeyHome): string {
   return [uuid, home.failureDomain, home.instance].join(SEPARATOR);
 }
--- a/packages/gateway/src/limits/admission.test.ts
+++ b/packages/gateway/src/limits/admission.test.ts
@@ -18,11 +18,11 @@
     capacity = 0;
     expectedUntil = -Infinity;
     admission = new Admission({
-      queueLength: 10,
+      maxQueueLength: 10,
       capacity: () => capacity,
-      returnLeftMs: () => Math.max(0, expectedUntil - monotonicMs()),
+      expectedReturnMs: () => Math.max(0, expectedUntil - monotonicMs()),
       share: () => 1,
-      elsewhere: () => 0,
+      runningAtOtherGateways: () => 0,
       metrics: { count: () => undefined } as unknown as Metrics,
     });
   });
@@ -36,7 +36,7 @@
   async function outcomeOfEnter(): Promise<{ readonly code: string; readonly ms: number }> {
     const startedAt = monotonicMs();
     try {
-      await admission.enter(request());
+      await admission.admit(request());
       return { code: 'admitted', ms: monotonicMs() - startedAt };
     } catch (error) {
       const code = error instanceof ProblemError ? error.reason : 'unexpected';
--- a/packages/gateway/src/limits/admission.ts
+++ b/packages/gateway/src/limits/admission.ts
@@ -30,18 +30,18 @@
 /** Options of the admission control. */
 export type AdmissionOptions = {
   /** Largest number of waiting requests per model. */
-  readonly queueLength: number;
+  readonly maxQueueLength: number;
   /** Number of requests of a model that this gateway may run at the same time now. */
   readonly capacity: (model: string) => number;
   /**
    * Time left, in ms, in which a group of the model that stopped serving a moment ago is expected to serve
    * again; 0 if none is expected. For that time requests wait although there is no capacity.
    */
-  readonly returnLeftMs: (model: string) => number;
+  readonly expectedReturnMs: (model: string) => number;
   /** Part of the capacity (0 to 1) that a workspace may hold while other workspaces need their shares. */
   readonly share: (workspace: string, model: string) => number;
   /** Number of running requests of a workspace at the other gateways. */
-  readonly elsewhere: (workspace: string, model: string) => number;
+  readonly runningAtOtherGateways: (workspace: string, model: string) => number;
   readonly metrics: Metrics;
 };
 
@@ -77,7 +77,7 @@
   }
 
   /** Resolves with a permit when the request may run; rejects with a ProblemError when it is refused. */
-  enter(request: AdmissionRequest): Promise<Permit> {
+  admit(request: AdmissionRequest): Promise<Permit> {
     const state = this.#state(request.model);
     if (state.queue.size === 0 && state.total < this.#options.capacity(request.model)) {
       return Promise.resolve(this.#start(state, request));
@@ -114,7 +114,7 @@
   }
 
   /** Number of waiting requests of all models. */
-  waiting(): number {
+  waitingCount(): number {
     return [...this.#models.values()].reduce((sum, state) => sum + state.queue.size, 0);
   }
 
@@ -147,7 +147,7 @@
         released = true;
         addToCount(state.running, workspace, -1);
         state.total -= 1;
-        state.drain.note(monotonicMs(), monotonicMs() - startedAt);
+        state.drain.recordFinish(monotonicMs(), monotonicMs() - startedAt);
         this.#admitWaiting(model, state);
       },
     };
@@ -159,7 +159,7 @@
     if (this.#hasNoGroups(model)) {
       throw this.#refusal(state, 'no-ready-group', `no group of model ${model} is ready`);
     }
-    const expectedMs = state.drain.expectedMs(this.#countAhead(state, request), monotonicMs());
+    const expectedMs = state.drain.expectedWaitMs(this.#countAhead(state, request), monotonicMs());
     if (monotonicMs() + expectedMs + state.drain.serviceMs > deadline) {
       const detail = `expected wait of ${Math.round(expectedMs)} ms is past the deadline`;
       throw this.#refusal(state, 'deadline-unreachable', detail);
@@ -169,7 +169,7 @@
   // No event is emitted when an expected group does not serve again, so a timer checks. The expected time
   // may have been extended by then, so the check repeats while requests wait.
   #refreshAfterExpectedReturn(model: string): void {
-    const leftMs = this.#options.returnLeftMs(model);
+    const leftMs = this.#options.expectedReturnMs(model);
     if (leftMs > 0 && this.#options.capacity(model) <= 0) {
       setTimeout(() => {
         this.refresh();
@@ -181,7 +181,7 @@
   }
 
   #hasNoGroups(model: string): boolean {
-    return this.#options.capacity(model) <= 0 && this.#options.returnLeftMs(model) <= 0;
+    return this.#options.capacity(model) <= 0 && this.#options.expectedReturnMs(model) <= 0;
   }
 
   // Requests that could be served when they arrived may no longer be servable in time. They are
@@ -193,7 +193,7 @@
     const now = monotonicMs();
     const hasNoGroups = this.#hasNoGroups(model);
     this.#waitingByRank(state, model).forEach((waiting, ahead) => {
-      const expectedMs = state.drain.expectedMs(ahead, now);
+      const expectedMs = state.drain.expectedWaitMs(ahead, now);
       if (hasNoGroups) {
         const detail = `no group of model ${model} is ready any more`;
         waiting.refuse(this.#refusal(state, 'no-ready-group', detail));
@@ -258,7 +258,7 @@
 
   // If the queue is full, drops the newest request of the workspace that exceeds its share the most.
   #makeQueueSpace(state: ModelState, request: AdmissionRequest): void {
-    if (state.queue.size < this.#options.queueLength) {
+    if (state.queue.size < this.#options.maxQueueLength) {
       return;
     }
     const { model } = request;
@@ -332,7 +332,8 @@
 
   /** Capacity in use by a workspace as a multiple of its share; at 1 or more the workspace borrows. */
   #shareRatio(state: ModelState, workspace: string, model: string): number {
-    const running = (state.running.get(workspace) ?? 0) + this.#options.elsewhere(workspace, model);
+    const running =
+      (state.running.get(workspace) ?? 0) + this.#options.runningAtOtherGateways(workspace, model);
     const queued = state.queued.get(workspace) ?? 0;
     const capacity = Math.max(1, this.#options.capacity(model));
     const allowed = Math.max(
@@ -353,7 +354,7 @@
     detail: string,
   ): ProblemError {
     this.#options.metrics.count('refusals_total', { code });
-    const expectedMs = state.drain.expectedMs(state.queue.size, monotonicMs());
+    const expectedMs = state.drain.expectedWaitMs(state.queue.size, monotonicMs());
     const retryAfter = Math.max(MIN_RETRY_AFTER_S, Math.ceil(expectedMs / 1000));
     const status = code === 'share-exceeded' || code === 'queue-full' ? 429 : 503;
     return new ProblemError({ status, code, detail, retryAfter });
--- a/packages/gateway/src/limits/drain-rate.ts
+++ b/packages/gateway/src/limits/drain-rate.ts
@@ -18,7 +18,7 @@
   }
 
   /** Records that a request finished at `now` after it ran for `serviceMs`. */
-  note(now: number, serviceMs: number): void {
+  recordFinish(now: number, serviceMs: number): void {
     const weight = this.#serviceMs === 0 ? 1 : SMOOTHING;
     this.#serviceMs += weight * (serviceMs - this.#serviceMs);
     this.#finishes.push(now);
@@ -40,7 +40,7 @@
   }
 
   /** Estimated wait in ms of a request with `ahead` requests before it; 0 while the rate is unknown. */
-  expectedMs(ahead: number, now: number): number {
+  expectedWaitMs(ahead: number, now: number): number {
     const rate = this.perSecond(now);
     return rate === undefined ? 0 : ((ahead + 1) / rate) * 1000;
   }
--- a/packages/gateway/src/limits/usage-elsewhere.ts
+++ b/packages/gateway/src/limits/peer-usage.ts
@@ -2,12 +2,12 @@
 import type { WorkspaceUsage } from '@hingescale/link';
 
 /** Number of running requests at the other gateways, by workspace and model. */
-export class UsageElsewhere {
+export class PeerUsage {
   #running = new Map<string, number>();
   #totals = new Map<string, number>();
 
   /** Replaces all counts with those of a new report. */
-  take(usage: readonly WorkspaceUsage[]): void {
+  replaceAll(usage: readonly WorkspaceUsage[]): void {
     this.#running = new Map();
     this.#totals = new Map();
     for (const { workspace, model, running } of usage) {
--- a/packages/gateway/src/limits/policies.ts
+++ b/packages/gateway/src/limits/policies.ts
@@ -2,8 +2,8 @@
  * Runs the policy programs of the gateway's hooks. They are compiled once per configuration revision. A
  * program that fails is counted and left out; if no program gives a value, the default applies.
  */
-import type { CapacityInput, Configuration, PriorityInput, Program } from '@hingescale/core';
-import { compile, runNumber } from '@hingescale/core';
+import type { CapacityInput, CompiledPolicy, Configuration, PriorityInput } from '@hingescale/core';
+import { compilePolicy, runNumericPolicy } from '@hingescale/core';
 import type { Metrics } from '@hingescale/runtime';
 
 /** Priority (0 to 100) of a request if no policy sets one. */
@@ -13,8 +13,8 @@
 /** The compiled policies of the current configuration. */
 export class GatewayPolicies {
   readonly #metrics: Metrics;
-  #priority: Program[] = [];
-  #capacity: Program[] = [];
+  #priority: CompiledPolicy[] = [];
+  #capacity: CompiledPolicy[] = [];
 
   constructor(metrics: Metrics) {
     this.#metrics = metrics;
@@ -39,14 +39,14 @@
   }
 
   #run(
-    programs: readonly Program[],
+    programs: readonly CompiledPolicy[],
     input: PriorityInput | CapacityInput,
     max: number,
     hook: string,
   ): number[] {
     const values: number[] = [];
     for (const program of programs) {
-      const run = runNumber(program, input, 0, max);
+      const run = runNumericPolicy(program, input, 0, max);
       if (run.ok) {
         values.push(run.value);
       } else {
@@ -57,10 +57,13 @@
   }
 }
 
-function compilePrograms(configuration: Configuration, hook: 'priority' | 'capacity'): Program[] {
-  const programs: Program[] = [];
+function compilePrograms(
+  configuration: Configuration,
+  hook: 'priority' | 'capacity',
+): CompiledPolicy[] {
+  const programs: CompiledPolicy[] = [];
   for (const policy of configuration.policies.values()) {
-    const compiled = policy.hook === hook ? compile(hook, policy.program) : undefined;
+    const compiled = policy.hook === hook ? compilePolicy(hook, policy.program) : undefined;
     if (compiled?.ok === true) {
       programs.push(compiled.value);
     }
--- a/packages/gateway/src/requests/completion-run.test.ts
+++ b/packages/gateway/src/requests/completion-run.test.ts
@@ -5,7 +5,7 @@
 import { expect } from 'chai';
 import Emittery from 'emittery';
 
-import type { DirectoryMessages, GroupDirectory } from '../domain/group-directory.js';
+import type { DirectoryEvents, GroupDirectory } from '../domain/group-directory.js';
 import type { Router } from '../routing/router.js';
 import type { RunResult, RunServices } from './completion-run.js';
 import { CompletionRun } from './completion-run.js';
@@ -28,7 +28,7 @@
 const CUT: AttemptEnd = { kind: 'cut', detail: 'the stream broke' };
 
 class FakeDirectory {
-  readonly messages = new Emittery<DirectoryMessages>();
+  readonly messages = new Emittery<DirectoryEvents>();
   isCertified = true;
   isServing = true;
   renewableMs = 0;
--- a/packages/gateway/src/requests/completion-run.ts
+++ b/packages/gateway/src/requests/completion-run.ts
@@ -8,9 +8,9 @@
 import { afterTurn, monotonicMs, newUuid, sleep } from '@hingescale/runtime';
 
 import type { GroupDirectory } from '../domain/group-directory.js';
-import type { Route, Router } from '../routing/router.js';
+import type { ActiveRoute, Router } from '../routing/router.js';
 import type { Attempt, AttemptEnd, EngineClient } from './engine-client.js';
-import { RequestLife } from './request-life.js';
+import { RequestLifecycle } from './request-lifecycle.js';
 import type { RetryBudget } from './retry-budget.js';
 
 /** Services that a run uses. */
@@ -67,7 +67,7 @@
 
 /** One run of a completion request; an instance runs once. */
 export class CompletionRun {
-  readonly life = new RequestLife();
+  readonly lifecycle = new RequestLifecycle();
   readonly #services: RunServices;
   readonly #admitted: AdmittedRequest;
   readonly #sink: AnswerSink;
@@ -75,7 +75,7 @@
   #tokens = 0;
   #startedAt = 0;
   #sentAt = 0;
-  #route: Route | undefined;
+  #route: ActiveRoute | undefined;
   #firstTokenAt = 0;
   #lastTokenAt = 0;
 
@@ -97,7 +97,7 @@
       }
       const end = await this.#attempt(target);
       if (end.kind === 'whole') {
-        this.life.to('done');
+        this.lifecycle.transitionTo('done');
         return this.#result(target);
       }
       // After a held-back attempt nothing was sent, so the group stays eligible once its certificate is renewed.
@@ -169,7 +169,7 @@
     };
     const route = router.enter(target, request.prompt, workspace);
     this.#route = route;
-    this.life.to('dispatching');
+    this.lifecycle.transitionTo('dispatching');
     this.#sentAt = monotonicMs();
     const end = await this.#sendAndResume(attempt);
     metrics.count('attempts_total', { end: end.kind });
@@ -187,7 +187,9 @@
     const { engine, metrics } = this.#services;
     const sink = {
       accepted: () => {
-        this.life.to(this.life.state === 'streaming' ? 'streaming' : 'accepted');
+        this.lifecycle.transitionTo(
+          this.lifecycle.state === 'streaming' ? 'streaming' : 'accepted',
+        );
         this.#sink.accepted(groupAndHostOf(attempt.target));
       },
       token: (data: string) => this.#relayToken(attempt, data),
@@ -257,7 +259,7 @@
   // True if the request may be sent to another group: it is repeatable, none of its tokens was sent to the
   // caller, and another group is eligible.
   #mayRunElsewhere(current: GroupId): boolean {
-    const mayRestart = this.#admitted.repeatable && this.life.state !== 'streaming';
+    const mayRestart = this.#admitted.repeatable && this.lifecycle.state !== 'streaming';
     return mayRestart && this.#pick([current]) !== undefined;
   }
 
@@ -274,7 +276,7 @@
     this.#lastTokenAt = now;
     this.#tokens += 1;
     if (this.#sink.streaming) {
-      this.life.to('streaming');
+      this.lifecycle.transitionTo('streaming');
     }
     return this.#sink.token(data.replace(attempt.streamId, this.#admitted.requestId));
   }
@@ -302,24 +304,24 @@
   }
 
   #mayRetry(end: AttemptEnd): boolean {
-    if (!this.#isWanted || this.life.state === 'streaming') {
+    if (!this.#isWanted || this.lifecycle.state === 'streaming') {
       return false;
     }
     if (end.kind === 'held-back') {
       return true;
     }
     const allowed = end.kind === 'not-run' || this.#admitted.repeatable;
-    return allowed && this.#services.budget.take();
+    return allowed && this.#services.budget.tryTake();
   }
 
   #requeue(end: AttemptEnd): void {
     this.#tokens = 0;
     this.#sink.reset();
-    this.life.requeue(!hasNotRun(end));
+    this.lifecycle.requeue(!hasNotRun(end));
   }
 
   #problemOf(end: AttemptEnd): ProblemError {
-    const execution = hasNotRun(end) ? this.#executionAfterRefusal() : this.life.execution();
+    const execution = hasNotRun(end) ? this.#executionAfterRefusal() : this.lifecycle.execution();
     if (monotonicMs() >= this.#admitted.deadline) {
       const detail = 'the deadline passed before the answer was complete';
       return new ProblemError({
@@ -348,7 +350,7 @@
 
   // A refusal covers only the last attempt; an earlier one may have run.
   #executionAfterRefusal(): 'not-run' | 'unknown' {
-    return this.life.maybeRan ? 'unknown' : 'not-run';
+    return this.lifecycle.mayHaveRun ? 'unknown' : 'not-run';
   }
 
   #noGroupProblem(): ProblemError {
@@ -356,7 +358,7 @@
       status: 503,
       code: 'no-ready-group',
       detail: `no group of model ${this.#admitted.request.model} is ready`,
-      execution: this.life.execution(),
+      execution: this.lifecycle.execution(),
       retryAfter: RETRY_AFTER_LOST_S,
     });
   }
--- a/packages/gateway/src/requests/engine-client.ts
+++ b/packages/gateway/src/requests/engine-client.ts
@@ -197,7 +197,7 @@
     return this.#refusedBeforeRun;
   }
 
-  head(status: number, headers: IncomingHttpHeaders): boolean {
+  onHead(status: number, headers: IncomingHttpHeaders): boolean {
     this.#status = status;
     if (status !== 200) {
       this.#refusedBeforeRun = headers[EXECUTION_HEADER] === 'not-run' || status === 404;
@@ -210,7 +210,7 @@
     return this.#mismatch === undefined;
   }
 
-  data(bytes: Buffer): Promise<void> | undefined {
+  onData(bytes: Buffer): Promise<void> | undefined {
     const text = this.#decoder.decode(bytes, { stream: true });
     if (this.#status !== 200) {
       this.#refusal = (this.#refusal + text).slice(0, MAX_REFUSAL_CHARACTERS);
--- a/packages/gateway/src/requests/exchange.ts
+++ b/packages/gateway/src/requests/exchange.ts
@@ -21,9 +21,9 @@
   /** Called right before the first byte is sent; false holds the request back. */
   readonly mayStart: () => boolean;
   /** Receives the status and headers; false ends the exchange. */
-  readonly head: (status: number, headers: IncomingHttpHeaders) => boolean;
+  readonly onHead: (status: number, headers: IncomingHttpHeaders) => boolean;
   /** Receives body bytes; a returned promise pauses the exchange until it resolves. */
-  readonly data: (bytes: Buffer) => Promise<void> | undefined;
+  readonly onData: (bytes: Buffer) => Promise<void> | undefined;
 };
 
 /** How an exchange ended. */
@@ -101,13 +101,13 @@
     status: number,
     headers: IncomingHttpHeaders,
   ): void {
-    if (!this.#observer.head(status, headers)) {
+    if (!this.#observer.onHead(status, headers)) {
       controller.abort(new Error('the answer was rejected by the gateway'));
     }
   }
 
   onResponseData(controller: Dispatcher.DispatchController, bytes: Buffer): void {
-    const wait = this.#observer.data(bytes);
+    const wait = this.#observer.onData(bytes);
     if (wait !== undefined) {
       controller.pause();
       void wait.then(() => {
--- a/packages/gateway/src/requests/request-life.ts
+++ b/packages/gateway/src/requests/request-lifecycle.ts
@@ -5,10 +5,10 @@
  * `queued`: no attempt is in progress. `dispatching`: a first byte may have been sent. `accepted`: an upstream
  * has accepted the request. `streaming`: bytes were sent to the caller. `done`: the answer is complete.
  */
-export type LifeState = 'queued' | 'dispatching' | 'accepted' | 'streaming' | 'done';
+export type RequestState = 'queued' | 'dispatching' | 'accepted' | 'streaming' | 'done';
 
 /** Allowed transitions from each state. */
-const TRANSITIONS: Readonly<Record<LifeState, readonly LifeState[]>> = {
+const TRANSITIONS: Readonly<Record<RequestState, readonly RequestState[]>> = {
   queued: ['dispatching'],
   dispatching: ['accepted', 'queued'],
   accepted: ['streaming', 'done', 'queued'],
@@ -17,24 +17,24 @@
 };
 
 /** Tracks the state of one request. */
-export class RequestLife {
-  #state: LifeState = 'queued';
+export class RequestLifecycle {
+  #state: RequestState = 'queued';
   /** True once an attempt that may have run was requeued. */
   #maybeRan = false;
   #wasAccepted = false;
 
   /** Current state. */
-  get state(): LifeState {
+  get state(): RequestState {
     return this.#state;
   }
 
   /** True if an earlier attempt may have run. */
-  get maybeRan(): boolean {
+  get mayHaveRun(): boolean {
     return this.#maybeRan;
   }
 
   /** Changes to a state; throws if the transition is not allowed. */
-  to(state: LifeState): void {
+  transitionTo(state: RequestState): void {
     if (state === this.#state) {
       return;
     }
@@ -51,7 +51,7 @@
    */
   requeue(mayHaveRun: boolean): void {
     this.#maybeRan ||= mayHaveRun;
-    this.to('queued');
+    this.transitionTo('queued');
   }
 
   /** Execution status to report if the request ends now without a complete answer. */
--- a/packages/gateway/src/requests/retry-budget.ts
+++ b/packages/gateway/src/requests/retry-budget.ts
@@ -20,7 +20,7 @@
   }
 
   /** Takes the token for one retry; returns false if there is none. */
-  take(): boolean {
+  tryTake(): boolean {
     if (this.#tokens < 1) {
       return false;
     }
--- a/packages/gateway/src/requests/service-client.ts
+++ b/packages/gateway/src/requests/service-client.ts
@@ -88,14 +88,14 @@
     return true;
   }
 
-  head(status: number, headers: IncomingHttpHeaders): boolean {
+  onHead(status: number, headers: IncomingHttpHeaders): boolean {
     this.#status = status;
     this.#contentType = String(headers['content-type'] ?? 'application/octet-stream');
     this.#isOwnAnswer = headers[REQUEST_ID_HEADER] === this.#requestId;
     return this.#isOwnAnswer;
   }
 
-  data(bytes: Buffer): undefined {
+  onData(bytes: Buffer): undefined {
     this.#parts.push(bytes);
   }
 
--- a/packages/gateway/src/routing/group-health.ts
+++ b/packages/gateway/src/routing/group-health.ts
@@ -15,15 +15,15 @@
   #ejectedUntil = -Infinity;
 
   /** Records a successful attempt, which resets the counts of failures and ejections. */
-  succeed(): void {
+  recordSuccess(): void {
     this.#failures = 0;
     this.#ejections = 0;
   }
 
   /** Records a failed attempt; returns true if it ejects the group. */
-  fail(now: number): boolean {
+  recordFailure(now: number): boolean {
     this.#failures += 1;
-    if (this.#failures < FAILURES_TO_EJECT || this.ejected(now)) {
+    if (this.#failures < FAILURES_TO_EJECT || this.isEjected(now)) {
       return false;
     }
     const ejectionMs = Math.min(LONGEST_EJECTION_MS, FIRST_EJECTION_MS * 2 ** this.#ejections);
@@ -34,7 +34,7 @@
   }
 
   /** Returns true while the group is ejected. */
-  ejected(now: number): boolean {
+  isEjected(now: number): boolean {
     return now < this.#ejectedUntil;
   }
 }
--- a/packages/gateway/src/routing/group-load.ts
+++ b/packages/gateway/src/routing/group-load.ts
@@ -45,7 +45,7 @@
   }
 
   /** Applies a load report measured `report.ageMs` before `now`, unless a newer one was applied. */
-  takeReport(report: LoadReport, now: number): void {
+  applyReport(report: LoadReport, now: number): void {
     const measuredAt = now - report.ageMs;
     if (measuredAt > this.#measuredAt) {
       this.#measuredAt = measuredAt;
@@ -54,12 +54,12 @@
   }
 
   /** Records that a request of this gateway starts on the group. */
-  enter(now: number): void {
+  requestStarted(now: number): void {
     this.#recordInFlight(now, this.#inFlight + 1);
   }
 
   /** Records that a request of this gateway has ended; `serviceMs` is given only for a complete one. */
-  leave(now: number, serviceMs: number | undefined): void {
+  requestEnded(now: number, serviceMs: number | undefined): void {
     this.#recordInFlight(now, this.#inFlight - 1);
     if (serviceMs !== undefined) {
       this.#serviceMs += SMOOTHING * (serviceMs - this.#serviceMs);
@@ -70,11 +70,17 @@
    * Updates the averages from the expected and the actual time to a first token. `blocks` is the number of
    * prompt blocks that were not cached; `waited` is true if the request had to wait for a slot.
    */
-  learn(now: number, expectedMs: number, actualMs: number, blocks: number, waited: boolean): void {
+  recordFirstToken(
+    now: number,
+    expectedMs: number,
+    actualMs: number,
+    blocks: number,
+    waited: boolean,
+  ): void {
     if (!waited && blocks > 0) {
       this.#blockMs += SMOOTHING * (actualMs / (blocks + 1) - this.#blockMs);
     }
-    const before = this.residualMs(now);
+    const before = this.residualDelayMs(now);
     this.#residualMs = before + SMOOTHING * (actualMs - expectedMs - before);
     this.#residualAt = now;
   }
@@ -83,7 +89,7 @@
    * Recent average delay of first tokens against their expected time, in ms. It decays, so that a slow
    * group is tried again.
    */
-  residualMs(now: number): number {
+  residualDelayMs(now: number): number {
     return this.#residualMs * Math.exp(-(now - this.#residualAt) / RESIDUAL_DECAY_MS);
   }
 
@@ -91,7 +97,7 @@
    * Estimated number of requests on the group now: the reported number plus the change since it was
    * measured. A gateway observes only its own part of the change and assumes that the others' are equal.
    */
-  expected(gateways: number): number {
+  expectedRequests(gateways: number): number {
     const change = this.#inFlight - this.#inFlightAt(this.#measuredAt);
     return Math.max(this.#inFlight, this.#reported + change * gateways);
   }
--- a/packages/gateway/src/routing/prefix-index.ts
+++ b/packages/gateway/src/routing/prefix-index.ts
@@ -28,7 +28,7 @@
    * Applies cache events. Lost events leave wrong entries for a while, which only make some requests start
    * more slowly.
    */
-  take(events: readonly GroupCacheEvents[]): void {
+  applyEvents(events: readonly GroupCacheEvents[]): void {
     for (const { group, next, stored, evicted } of events) {
       this.#cursors.set(group, next);
       stored.forEach(hash => {
@@ -39,7 +39,7 @@
   }
 
   /** Records the prefixes of a prompt that was sent to a group, before its cache events arrive. */
-  expect(group: GroupId, prefixes: readonly PromptPrefix[]): void {
+  recordSentPrompt(group: GroupId, prefixes: readonly PromptPrefix[]): void {
     prefixes.forEach(({ hash }) => {
       this.#record(hash, group);
     });
--- a/packages/gateway/src/routing/router.ts
+++ b/packages/gateway/src/routing/router.ts
@@ -29,7 +29,7 @@
 };
 
 /** A request on a group. The caller calls `leave` exactly once, when the request has ended. */
-export type Route = {
+export type ActiveRoute = {
   /** Records that the first token arrived `ms` milliseconds after the request was sent. */
   readonly firstToken: (ms: number) => void;
   /** Records how the attempt ended and how long it took, in ms. */
@@ -70,10 +70,10 @@
   }
 
   /** Applies load reports whose ages are relative to now, and removes the data of deleted groups. */
-  takeLoads(reports: readonly LoadReport[]): void {
+  applyLoadReports(reports: readonly LoadReport[]): void {
     const now = monotonicMs();
     for (const report of reports) {
-      this.#load(report.group).takeReport(report, now);
+      this.#load(report.group).applyReport(report, now);
     }
     this.#removeDeletedGroups();
   }
@@ -101,23 +101,23 @@
   }
 
   /** Records that a request starts on a group. */
-  enter(target: GroupView, prompt: string, workspace: string): Route {
+  enter(target: GroupView, prompt: string, workspace: string): ActiveRoute {
     const { prefixes } = this.#options;
     const { id } = target.group;
     const load = this.#load(id);
     const prefix = prefixes.prefixesOf(workspace, prompt);
     const expectedMs = this.expectedFirstTokenMs(target, prefix);
-    const waited = load.expected(this.#options.gateways()) >= target.slots;
+    const waited = load.expectedRequests(this.#options.gateways()) >= target.slots;
     const blocks = prefix.length - prefixes.cachedBlocks(id, prefix);
-    load.enter(monotonicMs());
-    prefixes.expect(id, prefix);
+    load.requestStarted(monotonicMs());
+    prefixes.recordSentPrompt(id, prefix);
     return {
       firstToken: ms => {
-        load.learn(monotonicMs(), expectedMs, ms, blocks, waited);
+        load.recordFirstToken(monotonicMs(), expectedMs, ms, blocks, waited);
       },
       leave: (end, serviceMs) => {
         const whole = end === 'whole';
-        load.leave(monotonicMs(), whole ? serviceMs : undefined);
+        load.requestEnded(monotonicMs(), whole ? serviceMs : undefined);
         // An attempt that was held back was not sent, so it does not count for or against the group.
         if (end !== 'held-back') {
           this.#recordOutcome(id, whole);
@@ -130,14 +130,14 @@
   expectedFirstTokenMs(view: GroupView, prefix: readonly PromptPrefix[]): number {
     const { failureDomain, remoteCostMs, prefixes } = this.#options;
     const load = this.#load(view.group.id);
-    const expected = load.expected(this.#options.gateways());
+    const expected = load.expectedRequests(this.#options.gateways());
     const queueMs = (expectedWaiting(expected, view.slots) / view.slots) * load.serviceMs;
     const uncached = prefix.length - prefixes.cachedBlocks(view.group.id, prefix);
     const prefillMs = (uncached + 1) * load.blockMs;
     // A small term that prefers the less loaded of two groups without a queue.
     const fillMs = expected / view.slots;
     const remoteMs = view.failureDomain === failureDomain ? 0 : remoteCostMs;
-    return queueMs + prefillMs + fillMs + remoteMs + load.residualMs(monotonicMs());
+    return queueMs + prefillMs + fillMs + remoteMs + load.residualDelayMs(monotonicMs());
   }
 
   #pickExpected(candidates: readonly GroupView[], query: RouteQuery): GroupView | undefined {
@@ -162,16 +162,16 @@
 
   #withoutEjected(candidates: readonly GroupView[]): readonly GroupView[] {
     const now = monotonicMs();
-    const healthy = candidates.filter(({ group }) => !this.#healthOf(group.id).ejected(now));
+    const healthy = candidates.filter(({ group }) => !this.#healthOf(group.id).isEjected(now));
     const enough = healthy.length >= candidates.length * (1 - MAX_EJECTED_SHARE);
     return enough ? healthy : candidates;
   }
 
   #recordOutcome(id: GroupId, whole: boolean): void {
     if (whole) {
-      this.#healthOf(id).succeed();
+      this.#healthOf(id).recordSuccess();
     } else {
-      this.#healthOf(id).fail(monotonicMs());
+      this.#healthOf(id).recordFailure(monotonicMs());
     }
   }
 
--- a/packages/object-store/src/configuration-store.ts
+++ b/packages/object-store/src/configuration-store.ts
@@ -8,7 +8,7 @@
   HistoryEntry,
   PartReference,
 } from '@hingescale/core';
-import { KEPT_HISTORY, readConfiguration } from '@hingescale/core';
+import { MAX_HISTORY_ENTRIES, readConfiguration } from '@hingescale/core';
 import { newUuid, sha256, sleep } from '@hingescale/runtime';
 import { Result } from 'true-myth';
 
@@ -112,7 +112,7 @@
     return [];
   }
   const { history, ...entry } = previous;
-  return [entry, ...history].slice(0, KEPT_HISTORY);
+  return [entry, ...history].slice(0, MAX_HISTORY_ENTRIES);
 }
 
 async function writeHead(
--- a/packages/object-store/src/platform-client.ts
+++ b/packages/object-store/src/platform-client.ts
@@ -5,7 +5,13 @@
  * are {@link Revision}s, which contain both, so that a later version is greater even across a restore.
  */
 import type { HostList, Revision } from '@hingescale/core';
-import { eraOf, numberInEra, revisionIn, STORE_ERA_HEADER, StoreEras } from '@hingescale/core';
+import {
+  eraOf,
+  makeRevision,
+  numberInEra,
+  STORE_ERA_HEADER,
+  StoreEraTracker,
+} from '@hingescale/core';
 import type { Log, Metrics } from '@hingescale/runtime';
 import { timeoutSignal } from '@hingescale/runtime';
 import { Result } from 'true-myth';
@@ -64,7 +70,7 @@
 export class PlatformClient {
   readonly #options: PlatformClientOptions;
   readonly #agent: Agent;
-  readonly #eras = new StoreEras();
+  readonly #eras = new StoreEraTracker();
   /** Aborts watches sent in an earlier era: they wait for versions that the platform may reach only much later. */
   #eraAbort = new AbortController();
 
@@ -109,7 +115,7 @@
       'conflict',
       'the version is from before the platform was restored',
     );
-    if (this.#eras.isOver(version)) {
+    if (this.#eras.isOfEarlierEra(version)) {
       return Result.err(conflict);
     }
     const condition = { 'if-match': `"${numberInEra(version)}"` };
@@ -129,7 +135,7 @@
     return this.#watchPath<WatchResult<T>>(`/v1/watch/${kind}`, after, waitMs, signal).then(
       response =>
         decodeResponse(response, ({ content, era }) => ({
-          version: revisionIn(era, content.version),
+          version: makeRevision(era, content.version),
           objects: content.objects.map(object => toStoredObject({ content: object, era })),
         })),
     );
@@ -144,7 +150,7 @@
     return this.#watchPath<HostList>('/v1/hosts', after, waitMs, signal).then(response =>
       decodeResponse(response, ({ content, era }) => ({
         ...content,
-        version: revisionIn(era, content.version),
+        version: makeRevision(era, content.version),
       })),
     );
   }
@@ -220,7 +226,7 @@
 
   #recordEra(header: string | string[] | undefined): number {
     const previousEra = this.era;
-    const era = this.#eras.note(header);
+    const era = this.#eras.recordHeader(header);
     if (this.era > previousEra) {
       this.#eraAbort.abort();
       this.#eraAbort = new AbortController();
@@ -260,7 +266,7 @@
 }
 
 function toStoredObject<T>({ content, era }: PlatformResponse<StoredObject<T>>): StoredObject<T> {
-  return { ...content, version: revisionIn(era, content.version) };
+  return { ...content, version: makeRevision(era, content.version) };
 }
 
 /** Settings of the platform that a process reads from its `[platform]` section. */
--- a/packages/runtime/src/settings.ts
+++ b/packages/runtime/src/settings.ts
@@ -11,7 +11,7 @@
   parseIni,
   sortFindings,
   textField,
-  unknownName,
+  unknownNameMessage,
   urlField,
 } from '@hingescale/core';
 import { Result } from 'true-myth';
@@ -90,7 +90,7 @@
   const effective = { ...document, sections };
   for (const section of sections.keys()) {
     if (!(section in schema)) {
-      const message = unknownName('section', section, Object.keys(schema));
+      const message = unknownNameMessage('section', section, Object.keys(schema));
       findings.push(findingAt(document, section, undefined, message));
     }
   }
