--- a/packages/gateway/src/bin-gateway.ts
+++ b/packages/gateway/src/bin-gateway.ts
@@ -1,4 +1,4 @@
-/** Binary `hingescale-gateway`. */
+/** Entry point of the `hingescale-gateway` executable. */
 import { runServer } from '@hingescale/runtime';
 
 import { Gateway } from './gateway.js';
--- a/packages/gateway/src/callers/answer-writer.ts
+++ b/packages/gateway/src/callers/answer-writer.ts
@@ -1,4 +1,4 @@
-/** Writes answers to callers: tokens as they come, or the whole answer at once. */
+/** Writes answers to callers, either as a stream of events or as one complete response. */
 import type { CompletionChunk, CompletionRequest, ProblemDocument } from '@hingescale/core';
 import {
   assembleCompletion,
@@ -12,19 +12,19 @@
 import type { StoredAnswer } from '../keys/key-messages.js';
 import type { AnswerSink } from '../requests/completion-run.js';
 
-/** Media type of a stream of events. */
+/** Media type of a stream of server-sent events. */
 export const EVENT_STREAM = 'text/event-stream';
 
-/** Sends events as they come and, when asked to, keeps them for later deliveries. */
+/** Streams each event as it arrives; for a keyed request it also stores the events for later deliveries. */
 export class StreamWriter implements AnswerSink {
   readonly streaming = true;
   readonly #response: Response;
-  readonly #keep: boolean;
-  #kept: string[] = [];
+  readonly #storeEvents: boolean;
+  #storedEvents: string[] = [];
 
-  constructor(response: Response, keep: boolean) {
+  constructor(response: Response, storeEvents: boolean) {
     this.#response = response;
-    this.#keep = keep;
+    this.#storeEvents = storeEvents;
   }
 
   accepted(ranOn: string): void {
@@ -34,34 +34,34 @@
   }
 
   token(data: string): Promise<void> | undefined {
-    this.#begin();
+    this.#sendHeaders();
     return this.#write(formatEvent(data));
   }
 
   reset(): void {
-    // Nothing was sent, else the run would not have been tried again.
+    // A streamed run is retried only before its first token was sent, so there is nothing to discard.
   }
 
-  /** Ends a whole stream with its end marker; gives the answer to hold. */
+  /** Ends a complete stream with its end marker and returns the answer to store. */
   finish(ranOn: string): StoredAnswer {
-    this.#begin();
+    this.#sendHeaders();
     void this.#write(formatEvent(END_MARKER));
     this.#response.end();
     return {
       status: 200,
       contentType: EVENT_STREAM,
-      body: this.#kept.join(''),
+      body: this.#storedEvents.join(''),
       ranOn,
     };
   }
 
-  /** Ends a broken stream: an error event and no end marker. */
+  /** Ends an interrupted stream with an error event and without the end marker. */
   fail(problem: ProblemDocument): void {
     this.#response.write(formatEvent(JSON.stringify(problem), undefined, 'error'));
     this.#response.end();
   }
 
-  #begin(): void {
+  #sendHeaders(): void {
     if (!this.#response.headersSent && !this.#response.destroyed) {
       this.#response.status(200);
       this.#response.setHeader('Content-Type', EVENT_STREAM);
@@ -71,16 +71,16 @@
   }
 
   #write(event: string): Promise<void> | undefined {
-    if (this.#keep) {
-      this.#kept.push(event);
+    if (this.#storeEvents) {
+      this.#storedEvents.push(event);
     }
     if (this.#response.destroyed || this.#response.write(event)) {
       return undefined;
     }
-    return this.#drained();
+    return this.#waitForDrain();
   }
 
-  #drained(): Promise<void> {
+  #waitForDrain(): Promise<void> {
     const response = this.#response;
     return new Promise(resolve => {
       const done = (): void => {
@@ -94,33 +94,33 @@
   }
 }
 
-/** Collects tokens until the answer is whole. */
+/** Collects the tokens of an answer that is sent as one complete response. */
 export class PlainWriter implements AnswerSink {
   readonly streaming = false;
-  #texts: string[] = [];
+  #tokenTexts: string[] = [];
 
   accepted(): void {
-    // The place goes out with the whole answer.
+    // The header that names the serving group is sent with the complete answer.
   }
 
   token(data: string): undefined {
-    this.#texts.push(chunkText(JSON.parse(data) as CompletionChunk));
+    this.#tokenTexts.push(chunkText(JSON.parse(data) as CompletionChunk));
   }
 
   reset(): void {
-    this.#texts = [];
+    this.#tokenTexts = [];
   }
 
-  /** The whole answer. */
+  /** Assembles the complete answer from the collected tokens. */
   finish(request: CompletionRequest, requestId: string, ranOn: string): StoredAnswer {
-    const text = this.#texts.join('');
-    const answer = assembleCompletion(request, requestId, text, this.#texts.length);
+    const text = this.#tokenTexts.join('');
+    const answer = assembleCompletion(request, requestId, text, this.#tokenTexts.length);
     const body = JSON.stringify(answer);
     return { status: 200, contentType: 'application/json', body, ranOn };
   }
 }
 
-/** Sends an answer as a whole. */
+/** Sends a complete answer; `replayed` marks one that an earlier delivery of the request produced. */
 export function sendAnswer(response: Response, answer: StoredAnswer, replayed: boolean): void {
   response.status(answer.status);
   response.setHeader('Content-Type', answer.contentType);
--- a/packages/gateway/src/callers/app.ts
+++ b/packages/gateway/src/callers/app.ts
@@ -1,4 +1,4 @@
-/** Routes for callers, each with a typed handler. */
+/** HTTP routes for callers, each with a typed handler. */
 import { ProblemError } from '@hingescale/core';
 import { createApp, finishApp, methodNotAllowed } from '@hingescale/runtime';
 import type { Express, Request, RequestHandler, Response } from 'express';
@@ -17,10 +17,10 @@
   response: Response,
 ) => Promise<void> | void;
 
-/** Builds the callers' application. */
+/** Builds the Express application that serves callers. */
 export function callerApp(services: CallerServices): Express {
   const app = createApp();
-  const handler = withContext(services);
+  const contextHandlers = createContextHandlers(services);
   const json = express.json({
     limit: services.bodyLimitBytes,
     type: () => true,
@@ -35,39 +35,39 @@
   addProbes(app, services);
   app.post(
     '/v1/chat/completions',
-    handler.check,
+    contextHandlers.authenticate,
     json,
-    handler.handle((context, request, response) =>
+    contextHandlers.handle((context, request, response) =>
       handleCompletion(services, 'chat', context, request, response),
     ),
   );
   app.post(
     '/v1/completions',
-    handler.check,
+    contextHandlers.authenticate,
     json,
-    handler.handle((context, request, response) =>
+    contextHandlers.handle((context, request, response) =>
       handleCompletion(services, 'text', context, request, response),
     ),
   );
   app.get(
     '/v1/models',
-    handler.check,
-    handler.handle((context, _request, response) => {
+    contextHandlers.authenticate,
+    contextHandlers.handle((context, _request, response) => {
       response.json(listModels(services, context));
     }),
   );
   app.post(
     '/v1/idempotency-keys',
-    handler.check,
-    handler.handle((_context, _request, response) => {
+    contextHandlers.authenticate,
+    contextHandlers.handle((_context, _request, response) => {
       issueKey(services, response);
     }),
   );
   app.all(
     '/services/:name{/*rest}',
-    handler.check,
+    contextHandlers.authenticate,
     raw,
-    handler.handle((context, request, response) =>
+    contextHandlers.handle((context, request, response) =>
       handleService(services, context, request, response),
     ),
   );
@@ -78,19 +78,19 @@
   app.all('/v1/models', methodNotAllowed('GET'));
   finishApp(app, error => {
     services.metrics.count('internal_errors_total');
-    services.log.error('request met an internal fault', {
+    services.log.error('request failed with an internal error', {
       error: error.message,
     });
   });
   return app;
 }
 
-// The key is checked before the body is read, so that a stranger's body costs nothing.
-function withContext(services: CallerServices): {
-  check: RequestHandler;
+// The API key is checked before the body is read, so that an unauthenticated request's body is never parsed.
+function createContextHandlers(services: CallerServices): {
+  authenticate: RequestHandler;
   handle: (handler: CallerHandler) => RequestHandler;
 } {
-  const check: RequestHandler = (request, response, next) => {
+  const authenticate: RequestHandler = (request, response, next) => {
     const { deadlineMs, clockSkewMs } = services;
     const configuration = services.configuration();
     response.locals.context = readContext(
@@ -108,7 +108,7 @@
       await handler(response.locals.context as RequestContext, request, response);
     };
   };
-  return { check, handle };
+  return { authenticate, handle };
 }
 
 function addProbes(app: Express, services: CallerServices): void {
@@ -144,7 +144,7 @@
 function issueKey(services: CallerServices, response: Response): void {
   const key = services.keys.issueKey();
   if (key === undefined) {
-    const detail = 'this gateway issues no keys at present';
+    const detail = 'this gateway cannot issue keys at present';
     throw new ProblemError({
       status: 503,
       code: 'not-ready',
--- a/packages/gateway/src/callers/caller-services.ts
+++ b/packages/gateway/src/callers/caller-services.ts
@@ -1,4 +1,4 @@
-/** What the callers' routes work with. */
+/** Dependencies of the routes for callers. */
 import type { Configuration } from '@hingescale/core';
 import type { Log, Metrics } from '@hingescale/runtime';
 
@@ -10,7 +10,7 @@
 import type { RunServices } from '../requests/completion-run.js';
 import type { ServiceClient } from '../requests/service-client.js';
 
-/** Services of a gateway, shared by all requests. */
+/** Components of a gateway that all requests share. */
 export type CallerServices = {
   readonly instance: string;
   readonly failureDomain: string;
@@ -23,8 +23,9 @@
   readonly run: RunServices;
   readonly services: ServiceClient;
   readonly ready: () => boolean;
-  /** True once a planned stop has begun; connections are then not kept. */
+  /** True once a planned stop has begun; responses then ask callers to close their connections. */
   readonly stopping: () => boolean;
+  /** Deadline of requests that name none, and the longest one that a request may ask for. */
   readonly deadlineMs: number;
   readonly bodyLimitBytes: number;
   readonly clockSkewMs: number;
--- a/packages/gateway/src/callers/completions.ts
+++ b/packages/gateway/src/callers/completions.ts
@@ -1,4 +1,4 @@
-/** Completions in the OpenAI shape, stream and plain. */
+/** Handles completion requests in the OpenAI format, streamed or as one complete response. */
 import type { CompletionRequest, CompletionShape } from '@hingescale/core';
 import { estimateTokens, meetsServiceLevel, parseCompletion, ProblemError } from '@hingescale/core';
 import { monotonicMs, sha256 } from '@hingescale/runtime';
@@ -14,7 +14,7 @@
 import { runKeyed } from './keyed.js';
 import type { RequestContext } from './request-context.js';
 
-/** Handles one completion. */
+/** Handles one completion request: validates it, runs it under its idempotency key if any, and sends the answer. */
 export async function handleCompletion(
   services: CallerServices,
   shape: CompletionShape,
@@ -22,12 +22,12 @@
   request: Request,
   response: Response,
 ): Promise<void> {
-  const completion = checkCompletion(shape, context, request.body);
-  const gone = new AbortController();
+  const completion = validateCompletion(shape, context, request.body);
+  const disconnected = new AbortController();
   response.on('close', () => {
-    // A keyed request goes on, so that a later delivery finds its answer.
+    // A keyed request continues after its caller disconnects, so that a later delivery finds its answer.
     if (!response.writableFinished && context.key === undefined) {
-      gone.abort();
+      disconnected.abort();
     }
   });
   const caller: CompletionCall = {
@@ -35,7 +35,7 @@
     context,
     completion,
     response,
-    gone: gone.signal,
+    disconnected: disconnected.signal,
   };
   const { answer, replayed } = await runKeyed({
     keys: services.keys,
@@ -54,10 +54,11 @@
   readonly context: RequestContext;
   readonly completion: CompletionRequest;
   readonly response: Response;
-  readonly gone: AbortSignal;
+  /** Aborted when the caller of a request without an idempotency key disconnects. */
+  readonly disconnected: AbortSignal;
 };
 
-function checkCompletion(
+function validateCompletion(
   shape: CompletionShape,
   context: RequestContext,
   body: unknown,
@@ -112,7 +113,7 @@
   call: CompletionCall,
   sink: StreamWriter | PlainWriter,
 ): Promise<string> {
-  const { services, context, completion, gone } = call;
+  const { services, context, completion, disconnected } = call;
   const { workspace, deadline, requestId, repeatable } = context;
   const { model, prompt } = completion;
   const priority = services.policies.priority({
@@ -123,7 +124,7 @@
     waitedMs: 0,
   });
   const startedAt = monotonicMs();
-  const admission = { model, workspace, priority, deadline, gone };
+  const admission = { model, workspace, priority, deadline, gone: disconnected };
   let permit: Permit | undefined;
   try {
     permit = await services.admission.admit(admission);
@@ -136,13 +137,13 @@
       repeatable: repeatable && context.key === undefined,
       priority,
       deadline,
-      gone,
+      gone: disconnected,
     };
     const result = await new CompletionRun(services.run, admitted, sink).run();
-    noteBurn(call, waitedMs + result.firstTokenMs, result.betweenTokensMs);
+    recordServiceLevel(call, waitedMs + result.firstTokenMs, result.betweenTokensMs);
     return result.ranOn;
   } catch (error) {
-    if (!gone.aborted) {
+    if (!disconnected.aborted) {
       services.burn.note(workspace, model, false, undefined);
     }
     throw error;
@@ -151,8 +152,12 @@
   }
 }
 
-// Models without a declared service level are good when their answer is whole.
-function noteBurn(call: CompletionCall, firstTokenMs: number, betweenTokensMs: number): void {
+// Without a declared service level for its model, every completed request counts as good.
+function recordServiceLevel(
+  call: CompletionCall,
+  firstTokenMs: number,
+  betweenTokensMs: number,
+): void {
   const { services, context, completion } = call;
   const levels = [...context.configuration.serviceLevels.values()];
   const level = levels.find(candidate => candidate.model === completion.model);
--- a/packages/gateway/src/callers/keyed.ts
+++ b/packages/gateway/src/callers/keyed.ts
@@ -7,24 +7,25 @@
 import type { KeyTask } from '../keys/key-task.js';
 import type { RequestContext } from './request-context.js';
 
-/** What a keyed run gives: a fresh answer, or the one that an earlier delivery got. */
+/** Result of a keyed run: a new answer, or the stored answer of an earlier delivery (`replayed`). */
 export type KeyedAnswer = {
   readonly answer: StoredAnswer;
   readonly replayed: boolean;
 };
 
-/** Options of a keyed run. */
+/** Options of `runKeyed`. */
 export type KeyedOptions = {
   readonly keys: KeyTask;
   readonly instance: string;
   readonly context: RequestContext;
+  /** Hash of the request; a key that was used with another fingerprint is refused. */
   readonly fingerprint: string;
   readonly run: () => Promise<StoredAnswer>;
 };
 
 const IN_PROGRESS_RETRY_S = 1;
 
-/** Claims the key, runs when allowed, and settles what became of it. */
+/** Claims the key, runs the request when the claim allows it, and records the outcome under the key. */
 export async function runKeyed(options: KeyedOptions): Promise<KeyedAnswer> {
   const { keys, context, run } = options;
   const { key, workspace, deadline, repeatable } = context;
@@ -43,22 +44,22 @@
   if (reply.kind === 'done' && reply.answer !== undefined) {
     return { answer: reply.answer, replayed: true };
   }
-  // A repeatable request may run also when nobody can tell whether it ran before.
+  // A repeatable request may run even when it is unknown whether an earlier delivery ran.
   if (reply.kind === 'unknown' && repeatable) {
     return { answer: await run(), replayed: false };
   }
   if (reply.kind !== 'run') {
-    throw problemOf(reply);
+    throw refusalProblem(reply);
   }
   return runClaimed(options, request);
 }
 
 async function runClaimed(options: KeyedOptions, request: ClaimRequest): Promise<KeyedAnswer> {
   const { keys, context } = options;
-  const name = context.key;
+  const key = context.key;
   const settle = async (outcome: KeyOutcome): Promise<void> => {
-    if (name !== undefined) {
-      await keys.settle(name, request, outcome);
+    if (key !== undefined) {
+      await keys.settle(key, request, outcome);
     }
   };
   try {
@@ -80,18 +81,18 @@
   readonly retryAfter?: number;
 };
 
-function problemOf(reply: Exclude<ClaimReply, { kind: 'run' }>): ProblemError {
-  return new ProblemError(refusalOf(reply));
+function refusalProblem(reply: Exclude<ClaimReply, { kind: 'run' }>): ProblemError {
+  return new ProblemError(describeRefusal(reply));
 }
 
-function refusalOf(reply: Exclude<ClaimReply, { kind: 'run' }>): Refusal {
+function describeRefusal(reply: Exclude<ClaimReply, { kind: 'run' }>): Refusal {
   switch (reply.kind) {
     case 'in-progress':
       return {
         status: 409,
         code: 'key-in-progress',
         execution: 'in-progress',
-        detail: 'another delivery of this key runs',
+        detail: 'another delivery of this key is in progress',
         retryAfter: IN_PROGRESS_RETRY_S,
       };
     case 'done':
@@ -99,7 +100,7 @@
         status: 409,
         code: 'key-answer-gone',
         execution: 'done',
-        detail: 'the request ran to its end; its answer is not held any more',
+        detail: 'the request completed, but its answer is no longer stored',
       };
     case 'mismatch':
       return {
@@ -113,16 +114,16 @@
         status: 409,
         code: 'key-too-old',
         execution: 'unknown',
-        detail: 'the key is older than keys are remembered',
+        detail: 'the key is older than the time for which keys are remembered',
       };
     case 'unknown': {
-      const again = reply.retryAfterMs > 0;
+      const canRetry = reply.retryAfterMs > 0;
       return {
-        status: again ? 503 : 409,
-        code: again ? 'key-owner-unreachable' : 'key-outcome-unknown',
+        status: canRetry ? 503 : 409,
+        code: canRetry ? 'key-owner-unreachable' : 'key-outcome-unknown',
         execution: 'unknown',
         detail: reply.detail,
-        retryAfter: again ? reply.retryAfterMs / 1000 : undefined,
+        retryAfter: canRetry ? reply.retryAfterMs / 1000 : undefined,
       };
     }
   }
--- a/packages/gateway/src/callers/request-context.ts
+++ b/packages/gateway/src/callers/request-context.ts
@@ -1,4 +1,4 @@
-/** What a caller's headers say about a request. */
+/** Reads the headers of a caller's request: identity, deadline and idempotency key. */
 import type { Configuration } from '@hingescale/core';
 import {
   DEADLINE_HEADER,
@@ -14,21 +14,22 @@
 import { parseKey } from '../keys/parsed-key.js';
 import { authenticateCaller } from './authenticate.js';
 
-/** A request of a known caller. */
+/** Properties of a request whose caller has been authenticated. */
 export type RequestContext = {
   readonly requestId: string;
   readonly workspace: string;
   readonly configuration: Configuration;
+  /** False when the request must not run twice, by the caller's header or by a rule of the service. */
   readonly repeatable: boolean;
-  /** Set when deliveries of the request have to be recognised. */
+  /** Idempotency key by which repeated deliveries of the request are recognised; undefined without one. */
   readonly key: ParsedKey | undefined;
-  /** Monotonic milliseconds at which the caller stops waiting. */
+  /** Monotonic time, in milliseconds, at which the caller stops waiting. */
   readonly deadline: number;
 };
 
 const REQUEST_ID = /^[\w.:-]{1,128}$/;
 
-/** Reads the headers; the request id is echoed whatever happens next. */
+/** Reads the headers and authenticates the caller. The request id is echoed even when the request is refused. */
 export function readContext(
   request: Request,
   response: Response,
@@ -40,7 +41,7 @@
   const requestId = REQUEST_ID.test(given) ? given : newUuid();
   response.setHeader(REQUEST_ID_HEADER, requestId);
   if (configuration === undefined) {
-    const detail = 'no configuration is in force yet';
+    const detail = 'no configuration has been applied yet';
     throw new ProblemError({
       status: 503,
       code: 'not-ready',
@@ -64,14 +65,14 @@
   if (text === undefined) {
     return undefined;
   }
-  const name = parseKey(String(text));
-  if (name === undefined) {
+  const key = parseKey(String(text));
+  if (key === undefined) {
     throw invalidKey('Idempotency-Key must be a UUIDv7 or a key issued by /v1/idempotency-keys');
   }
-  if (name.time > Date.now() + clockSkewMs) {
-    throw invalidKey('Idempotency-Key lies in the future; check the clock that made it');
+  if (key.time > Date.now() + clockSkewMs) {
+    throw invalidKey('Idempotency-Key has a time in the future; check the clock that generated it');
   }
-  return name;
+  return key;
 }
 
 function readDeadline(request: Request, defaultMs: number): number {
--- a/packages/gateway/src/callers/services.ts
+++ b/packages/gateway/src/callers/services.ts
@@ -1,4 +1,4 @@
-/** Calls of plain services under `/services/NAME/...`. */
+/** Handles calls of plain services under `/services/NAME/...`. */
 import type { Execution, Service } from '@hingescale/core';
 import { ProblemError } from '@hingescale/core';
 import { monotonicMs, newUuid, sha256 } from '@hingescale/runtime';
@@ -16,7 +16,7 @@
 const MAX_ATTEMPTS = 3;
 const RETRY_AFTER_S = 1;
 
-/** Handles one call of a service. */
+/** Handles one call of a plain service: checks access, runs it under its idempotency key if any, and answers. */
 export async function handleService(
   services: CallerServices,
   context: RequestContext,
@@ -26,9 +26,11 @@
   const name = String(request.params.name);
   const service = checkService(context, name);
   const path = request.originalUrl.slice(`/services/${name}`.length) || '/';
-  const declared = service['non-repeatable'].some(rule => matchesRule(rule, request.method, path));
-  const repeatable = context.repeatable && !declared;
-  if (declared && context.key === undefined) {
+  const declaredNonRepeatable = service['non-repeatable'].some(rule =>
+    matchesRule(rule, request.method, path),
+  );
+  const repeatable = context.repeatable && !declaredNonRepeatable;
+  if (declaredNonRepeatable && context.key === undefined) {
     const detail = 'this call must not run twice: send an Idempotency-Key';
     throw new ProblemError({
       status: 428,
@@ -77,23 +79,23 @@
   path: string,
   body: Buffer | undefined,
 ): Promise<StoredAnswer> {
-  const runners = runnersOf(services, service);
-  const once = !context.repeatable || context.key !== undefined;
-  let ran = false;
+  const runners = eligibleRunners(services, service);
+  const atMostOnce = !context.repeatable || context.key !== undefined;
+  let mayHaveRun = false;
   let end: ServiceEnd = {
     kind: 'not-run',
-    detail: `no runner of ${name} is there`,
+    detail: `no runner of ${name} is eligible`,
   };
-  for (let number = 0; number < Math.min(MAX_ATTEMPTS, runners.length); number++) {
+  for (let attempt = 0; attempt < Math.min(MAX_ATTEMPTS, runners.length); attempt++) {
     const timeoutMs = Math.min(service['timeout-ms'], context.deadline - monotonicMs());
     const call: ServiceCall = {
       requestId: `${context.requestId}.${newUuid()}`,
       method: request.method as Dispatcher.HttpMethod,
-      url: runners[number] + path,
+      url: runners[attempt] + path,
       contentType: request.headers['content-type'],
       body: body?.length === 0 ? undefined : body,
       timeoutMs: Math.max(1, timeoutMs),
-      freshConnection: once,
+      freshConnection: atMostOnce,
     };
     end = await services.services.call(call);
     services.metrics.count('service_calls_total', {
@@ -101,48 +103,55 @@
       end: end.kind,
     });
     if (end.kind === 'answer') {
-      return { ...end.answer, ranOn: `${name}/${runners[number]}` };
+      return { ...end.answer, ranOn: `${name}/${runners[attempt]}` };
     }
-    ran ||= end.kind !== 'not-run';
-    const retry = end.kind === 'not-run' || !once;
+    mayHaveRun ||= end.kind !== 'not-run';
+    const retry = end.kind === 'not-run' || !atMostOnce;
     if (!retry || context.deadline <= monotonicMs()) {
       break;
     }
   }
-  throw problemOf(end, ran);
+  throw callProblem(end, mayHaveRun);
 }
 
-// Runners of the own failure domain come first.
-function runnersOf(services: CallerServices, service: Service): string[] {
-  const own: string[] = [];
-  const others: string[] = [];
-  for (const item of service.runners) {
-    const at = item.indexOf('@');
-    const url = item.slice(at + 1);
+// Lists the URLs of eligible runners; runners in the failure domain of this gateway come first.
+function eligibleRunners(services: CallerServices, service: Service): string[] {
+  const sameDomain: string[] = [];
+  const otherDomains: string[] = [];
+  for (const runner of service.runners) {
+    const at = runner.indexOf('@');
+    const url = runner.slice(at + 1);
     const { directory } = services;
-    if (directory.isLeaving(url) || !directory.mayReceive(item.slice(0, at))) {
+    if (directory.isLeaving(url) || !directory.mayReceive(runner.slice(0, at))) {
       continue;
     }
-    (item.slice(0, at) === services.failureDomain ? own : others).push(url);
+    (runner.slice(0, at) === services.failureDomain ? sameDomain : otherDomains).push(url);
   }
-  turn += 1;
-  return [...rotate(own, turn), ...rotate(others, turn)];
+  rotation += 1;
+  return [...rotate(sameDomain, rotation), ...rotate(otherDomains, rotation)];
 }
 
-// Calls in a row start at different runners.
-let turn = 0;
+// Rotation offset, so that consecutive calls start at different runners.
+let rotation = 0;
 
 function rotate(urls: readonly string[], by: number): string[] {
   const start = urls.length === 0 ? 0 : by % urls.length;
   return [...urls.slice(start), ...urls.slice(0, start)];
 }
 
-function problemOf(end: Exclude<ServiceEnd, { kind: 'answer' }>, ran: boolean): ProblemError {
-  const cut = end.kind === 'cut' || end.kind === 'mismatch';
-  const execution: Execution = !ran ? 'not-run' : cut ? 'interrupted' : 'unknown';
+function callProblem(
+  end: Exclude<ServiceEnd, { kind: 'answer' }>,
+  mayHaveRun: boolean,
+): ProblemError {
+  const interrupted = end.kind === 'cut' || end.kind === 'mismatch';
+  const execution: Execution = !mayHaveRun ? 'not-run' : interrupted ? 'interrupted' : 'unknown';
   const code =
-    end.kind === 'mismatch' ? 'upstream-mismatch' : ran ? 'upstream-lost' : 'upstream-refused';
-  const status = ran ? 502 : 503;
+    end.kind === 'mismatch'
+      ? 'upstream-mismatch'
+      : mayHaveRun
+        ? 'upstream-lost'
+        : 'upstream-refused';
+  const status = mayHaveRun ? 502 : 503;
   const retryAfter = RETRY_AFTER_S;
   return new ProblemError({
     status,
--- a/packages/gateway/src/gateway-settings.ts
+++ b/packages/gateway/src/gateway-settings.ts
@@ -12,7 +12,7 @@
 
 import { ROUTING_STRATEGIES } from './routing/router.js';
 
-/** Schema of the settings file. */
+/** Schema of the settings file of a gateway. */
 export const gatewaySchema = {
   process: processSection,
   platform: platformSection,
@@ -25,28 +25,28 @@
     'headers-timeout-ms': integerField(100, 600_000).default(10_000),
     'request-timeout-ms': integerField(100, 600_000).default(30_000),
     'max-connections': integerField(1, 1_000_000).default(20_000),
-    /** Deadline of requests that name none. */
+    /** Deadline of requests that name none, and the longest one that a request may ask for. */
     'deadline-ms': integerField(100, 3_600_000).default(60_000),
-    /** Time between the fall of readiness and the end of listening, for the balancer to see it. */
+    /** Time between reporting not ready and closing the listener, in which load balancers notice the change. */
     'notice-ms': integerField(0, 600_000).default(2_000),
     'tls-certificate': textField().optional(),
     'tls-key': textField().optional(),
   }),
   routing: z.strictObject({
-    /** How groups are chosen; all but `expected` are for comparison. */
+    /** How a replica group is chosen; strategies other than `expected` exist for comparison only. */
     strategy: z
       .enum(ROUTING_STRATEGIES, { message: `must be one of ${ROUTING_STRATEGIES.join(', ')}` })
       .default('expected'),
   }),
   limits: z.strictObject({
-    /** Requests that may wait per model. */
+    /** Number of requests that may wait per model. */
     'queue-length': integerField(0, 1_000_000).default(2_000),
-    /** Retries allowed as a share of requests. */
+    /** Retries allowed, as a share of requests (0 to 1). */
     'retry-share': numberField(0, 1).default(0.1),
-    /** Answers of keyed requests that are held, in bytes. */
+    /** Memory limit for stored answers of keyed requests, in bytes. */
     'answer-bytes': integerField(0, 1_000_000_000).default(8_000_000),
   }),
 };
 
-/** Settings of a gateway. */
+/** Settings of a gateway, as parsed by `gatewaySchema`. */
 export type GatewaySettings = SettingsOf<typeof gatewaySchema>;
--- a/packages/gateway/src/gateway.ts
+++ b/packages/gateway/src/gateway.ts
@@ -1,4 +1,4 @@
-/** A gateway: its tasks, wired together. */
+/** Constructs and connects the components of a gateway process. */
 import { randomInt } from 'node:crypto';
 
 import type { Configuration, FailureDomainId } from '@hingescale/core';
@@ -38,13 +38,14 @@
 import { PrefixIndex } from './routing/prefix-index.js';
 import { Router } from './routing/router.js';
 
-/** Cost in milliseconds of using a group of another failure domain. */
+/** Routing penalty, in milliseconds, of a group in another failure domain. */
 const REMOTE_COST_MS = 5;
+/** Longest wait for key ownership to move to other gateways during a planned stop. */
 const HANDOVER_WAIT_MS = 5_000;
 const HANDOVER_CHECK_MS = 20;
 const MAX_SEED = 2 ** 31;
 
-/** A gateway process. */
+/** A gateway process: owns all components and their life cycle. */
 export class Gateway implements RunningServer {
   readonly #settings: GatewaySettings;
   readonly #log: Log;
@@ -58,19 +59,19 @@
   readonly #engine: EngineClient;
   readonly #services: ServiceClient;
   readonly #policies: GatewayPolicies;
-  readonly #elsewhere = new PeerUsage();
+  readonly #peerUsage = new PeerUsage();
   readonly #prefixes = new PrefixIndex();
   readonly #burn = new BurnRecorder();
   readonly #admission: Admission;
   readonly #router: Router;
-  readonly #loop: EventLoopWatch;
+  readonly #eventLoop: EventLoopWatch;
   #keys: KeyTask | undefined;
   #controllers: ControllerTask | undefined;
   #fallback: FallbackTask | undefined;
   #server: LinkServer | undefined;
   #http: HttpServer | undefined;
   #linkAddress = '';
-  #leaving = false;
+  #releasingKeys = false;
   #stopping = false;
 
   constructor(settings: GatewaySettings) {
@@ -78,14 +79,16 @@
     const { process: self, platform, timing, links, limits } = settings;
     this.#instance = `${self.name}-${newUuid()}`;
     this.#log = createLog({ process: self.name, ...settings.log });
-    this.#loop = new EventLoopWatch({ log: this.#log, metrics: this.#metrics });
+    this.#eventLoop = new EventLoopWatch({ log: this.#log, metrics: this.#metrics });
     this.#client = connectPlatform(platform, this.#log, this.#metrics);
     this.#hostClient = new HostClient({
       timeoutMs: timing['certificate-ms'],
       log: this.#log,
     });
     this.#holder = new ConfigurationHolder(this.#log, this.#metrics);
-    this.#directory = new GroupDirectory(this.#log, this.#metrics, () => this.#loop.resumedAt());
+    this.#directory = new GroupDirectory(this.#log, this.#metrics, () =>
+      this.#eventLoop.resumedAt(),
+    );
     const failureDomain = self['failure-domain'];
     const identity = {
       role: 'gateway',
@@ -110,65 +113,65 @@
       capacity: model => this.#capacity(model),
       expectedReturnMs: model => this.#directory.renewalLeftMs(model),
       share: (workspace, model) => this.#share(workspace, model),
-      runningAtOtherGateways: (workspace, model) => this.#elsewhere.running(workspace, model),
+      runningAtOtherGateways: (workspace, model) => this.#peerUsage.running(workspace, model),
       metrics: this.#metrics,
     });
   }
 
-  /** `ip:port` for callers. */
+  /** `ip:port` on which callers connect. */
   get address(): string {
     return this.#http?.address ?? '';
   }
 
-  /** `ip:port` of the link. */
+  /** `ip:port` on which the link server listens. */
   get linkAddress(): string {
     return this.#linkAddress;
   }
 
-  /** Name of this process instance. */
+  /** Unique name of this process instance: the process name and a UUID. */
   get instance(): string {
     return this.#instance;
   }
 
-  /** Starts all tasks and listens for callers. */
+  /** Starts all tasks, then listens for callers. */
   async start(): Promise<void> {
-    this.#loop.start();
+    this.#eventLoop.start();
     await this.#startKeys();
-    this.#controllers = this.#makeControllers();
+    this.#controllers = this.#createControllerTask();
     this.#holder.messages.on('applied', () => {
       this.#applyConfiguration();
     });
     this.#directory.messages.on('changed', () => {
       this.#admission.refresh();
     });
-    // A fresh process takes the highest revision around before it reports ready.
-    await Promise.all([this.#controllers.pollAll(), this.#readPlatform()]);
+    // A new process adopts the highest revision known to the controllers and the store before it reports ready.
+    await Promise.all([this.#controllers.pollAll(), this.#loadConfiguration()]);
     this.#controllers.start();
-    this.#fallback = this.#makeFallback();
+    this.#fallback = this.#createFallbackTask();
     this.#fallback.start();
     await this.#listen();
     this.#log.info('gateway started', { address: this.address });
   }
 
-  /** Planned stop: readiness falls, keys move, requests in progress finish. */
+  /** Planned stop: reports not ready, hands over its keys and lets requests in progress finish. */
   async drain(): Promise<void> {
     this.#log.info('gateway stopping');
     this.#stopping = true;
     const { callers, timing } = this.#settings;
     await sleep(callers['notice-ms']);
     const drained = this.#http?.drain();
-    await this.#leaveKeys();
+    await this.#handOverKeys();
     await Promise.race([drained, sleep(timing['drain-ms'])]);
     await this.#keys?.settlementsDone();
     await this.#keys?.handoversDone();
     this.#log.info('gateway drained');
   }
 
-  /** Ends all tasks. */
+  /** Stops all tasks and closes all connections. */
   async stop(): Promise<void> {
     this.#directory.close();
     const tasks = [
-      this.#loop,
+      this.#eventLoop,
       this.#controllers,
       this.#fallback,
       this.#keys,
@@ -215,7 +218,7 @@
     this.#linkAddress = await this.#server.listen();
   }
 
-  #makeControllers(): ControllerTask {
+  #createControllerTask(): ControllerTask {
     const { process: self, timing, links } = this.#settings;
     const controllers = new ControllerTask({
       instance: this.#instance,
@@ -226,19 +229,19 @@
       links: this.#links,
       holder: this.#holder,
       directory: this.#directory,
-      isLeaving: () => this.#leaving,
+      isLeaving: () => this.#releasingKeys,
       usage: (): WorkspaceUsage[] => this.#admission.usage(),
       cacheFrom: () => this.#prefixes.cursors(),
       log: this.#log,
       metrics: this.#metrics,
     });
     controllers.messages.on('reply', ({ reply, sentAt }) => {
-      this.#takeReply(reply, sentAt);
+      this.#applyReply(reply, sentAt);
     });
     return controllers;
   }
 
-  #makeFallback(): FallbackTask {
+  #createFallbackTask(): FallbackTask {
     const { process: self, timing, platform } = this.#settings;
     return new FallbackTask({
       failureDomain: self['failure-domain'],
@@ -255,15 +258,15 @@
     });
   }
 
-  #takeReply(reply: PollReply, sentAt: number): void {
+  #applyReply(reply: PollReply, sentAt: number): void {
     this.#router.applyLoadReports(reply.loads);
     this.#prefixes.applyEvents(reply.cacheEvents);
-    this.#elsewhere.replaceAll(reply.usage);
+    this.#peerUsage.replaceAll(reply.usage);
     this.#keys?.applyGrants(reply.keys, sentAt);
     this.#admission.refresh();
   }
 
-  async #readPlatform(): Promise<void> {
+  async #loadConfiguration(): Promise<void> {
     const revision = await readRevision(this.#client);
     if (revision.isOk) {
       this.#holder.offer(revision.value);
@@ -313,9 +316,9 @@
     });
   }
 
-  async #leaveKeys(): Promise<void> {
+  async #handOverKeys(): Promise<void> {
     const keys = this.#keys;
-    this.#leaving = true;
+    this.#releasingKeys = true;
     keys?.startLeaving();
     this.#controllers?.pollNow();
     const until = monotonicMs() + HANDOVER_WAIT_MS;
@@ -331,7 +334,7 @@
 
   #capacity(model: string): number {
     const slots = this.#directory.usable(model).reduce((sum, group) => sum + group.slots, 0);
-    return Math.max(slots > 0 ? 1 : 0, slots - this.#elsewhere.total(model));
+    return Math.max(slots > 0 ? 1 : 0, slots - this.#peerUsage.total(model));
   }
 
   #share(workspace: string, model: string): number {
--- a/packages/gateway/src/index.ts
+++ b/packages/gateway/src/index.ts
@@ -1,4 +1,4 @@
-/** The gateway that callers talk to. */
+/** The gateway: accepts requests of callers and routes them to replica groups and plain services. */
 export * from './gateway.js';
 export * from './gateway-settings.js';
 export * from './keys/key-messages.js';
--- a/packages/gateway/src/reports/burn-recorder.ts
+++ b/packages/gateway/src/reports/burn-recorder.ts
@@ -1,4 +1,4 @@
-/** Counts of good and bad requests per workspace and model, by minute, for the burn report. */
+/** Counts good and bad requests per workspace, model and minute, for the report of error budget burn rates. */
 import type { BurnCount, BurnSeries } from '@hingescale/core';
 import { BURN_WINDOWS_MIN } from '@hingescale/core';
 import { LatencyHistogram, monotonicMs } from '@hingescale/runtime';
@@ -7,40 +7,41 @@
 const KEPT_MINUTES = Math.max(...BURN_WINDOWS_MIN);
 const HISTOGRAM_MINUTES = 60;
 
-type Minute = { total: number; bad: number };
+type MinuteCount = { total: number; bad: number };
 
 type Series = {
   readonly workspace: string;
   readonly model: string;
-  readonly minutes: Map<number, Minute>;
-  present: LatencyHistogram;
+  readonly minutes: Map<number, MinuteCount>;
+  current: LatencyHistogram;
   previous: LatencyHistogram;
-  turnedAt: number;
+  /** Minute at which the current histogram was started. */
+  currentSince: number;
 };
 
-/** Records the end of requests. */
+/** Records how requests ended: counts per minute, and a histogram of the time to the first token. */
 export class BurnRecorder {
   readonly #series = new Map<string, Series>();
 
-  /** Notes a request; `firstTokenMs` is undefined when no token came. */
+  /** Records a finished request; `firstTokenMs` is undefined when it produced no token. */
   note(workspace: string, model: string, good: boolean, firstTokenMs: number | undefined): void {
     const minute = Math.floor(monotonicMs() / MINUTE_MS);
-    const series = this.#of(workspace, model, minute);
+    const series = this.#seriesFor(workspace, model, minute);
     const count = series.minutes.get(minute) ?? { total: 0, bad: 0 };
     count.total += 1;
     count.bad += good ? 0 : 1;
     series.minutes.set(minute, count);
     if (firstTokenMs !== undefined) {
-      series.present.record(firstTokenMs);
+      series.current.record(firstTokenMs);
     }
   }
 
-  /** What was counted, for a report. */
+  /** Returns the counts and first-token histograms per workspace and model. */
   report(): BurnSeries[] {
     const minute = Math.floor(monotonicMs() / MINUTE_MS);
     return [...this.#series.values()].map(series => {
       const firstToken = new LatencyHistogram();
-      firstToken.add(series.present);
+      firstToken.add(series.current);
       firstToken.add(series.previous);
       return {
         workspace: series.workspace,
@@ -51,7 +52,7 @@
     });
   }
 
-  #of(workspace: string, model: string, minute: number): Series {
+  #seriesFor(workspace: string, model: string, minute: number): Series {
     const key = `${workspace}\0${model}`;
     let series = this.#series.get(key);
     if (series === undefined) {
@@ -59,22 +60,23 @@
         workspace,
         model,
         minutes: new Map(),
-        present: new LatencyHistogram(),
+        current: new LatencyHistogram(),
         previous: new LatencyHistogram(),
-        turnedAt: minute,
+        currentSince: minute,
       };
       this.#series.set(key, series);
     }
-    turn(series, minute);
+    discardOld(series, minute);
     return series;
   }
 }
 
-function turn(series: Series, minute: number): void {
-  if (minute - series.turnedAt >= HISTOGRAM_MINUTES) {
-    series.previous = series.present;
-    series.present = new LatencyHistogram();
-    series.turnedAt = minute;
+// Rotates the histograms once they are HISTOGRAM_MINUTES old and deletes counts older than KEPT_MINUTES.
+function discardOld(series: Series, minute: number): void {
+  if (minute - series.currentSince >= HISTOGRAM_MINUTES) {
+    series.previous = series.current;
+    series.current = new LatencyHistogram();
+    series.currentSince = minute;
   }
   for (const old of series.minutes.keys()) {
     if (old > minute - KEPT_MINUTES) {
--- a/packages/link/src/frames.ts
+++ b/packages/link/src/frames.ts
@@ -1,15 +1,15 @@
-/** Frames on a TCP link: a four-byte length and a CBOR value. */
+/** Frames on a TCP link: a four-byte big-endian length followed by a CBOR value. */
 import { Encoder } from 'cbor-x';
 
-/** Largest frame in bytes that is accepted. */
+/** Largest accepted frame, in bytes. */
 export const MAX_FRAME_BYTES = 8 * 1024 * 1024;
-/** Largest frame before the peer has proved that it knows the key. */
+/** Largest accepted frame, in bytes, before the peer has proved that it knows the key. */
 export const MAX_GREETING_BYTES = 4096;
 
 const LENGTH_BYTES = 4;
 const encoder = new Encoder({ useRecords: false, variableMapSize: true });
 
-/** Encodes a value with its length. */
+/** Encodes a value as a frame. */
 export function encodeFrame(value: unknown): Buffer {
   const body = encoder.encode(value);
   const frame = Buffer.allocUnsafe(LENGTH_BYTES + body.length);
@@ -18,30 +18,30 @@
   return frame;
 }
 
-/** Cuts received bytes into frames. */
+/** Splits a stream of received bytes into frames and decodes them. */
 export class FrameReader {
-  #rest: Buffer = Buffer.alloc(0);
+  #unread: Buffer = Buffer.alloc(0);
   #limit = MAX_GREETING_BYTES;
 
-  /** Allows full-size frames, once the peer is known. */
+  /** Accepts frames up to MAX_FRAME_BYTES; called once the peer is authenticated. */
   trust(): void {
     this.#limit = MAX_FRAME_BYTES;
   }
 
-  /** Takes received bytes and gives the values that are now whole; throws on oversized frames. */
+  /** Adds received bytes and returns the values of all complete frames; throws on an oversized frame. */
   feed(bytes: Buffer): unknown[] {
-    this.#rest = this.#rest.length === 0 ? bytes : Buffer.concat([this.#rest, bytes]);
+    this.#unread = this.#unread.length === 0 ? bytes : Buffer.concat([this.#unread, bytes]);
     const values: unknown[] = [];
-    while (this.#rest.length >= LENGTH_BYTES) {
-      const length = this.#rest.readUInt32BE(0);
+    while (this.#unread.length >= LENGTH_BYTES) {
+      const length = this.#unread.readUInt32BE(0);
       if (length > this.#limit) {
-        throw new RangeError(`frame of ${length} bytes is over the limit`);
+        throw new RangeError(`frame of ${length} bytes exceeds the limit`);
       }
-      if (this.#rest.length < LENGTH_BYTES + length) {
+      if (this.#unread.length < LENGTH_BYTES + length) {
         break;
       }
-      values.push(encoder.decode(this.#rest.subarray(LENGTH_BYTES, LENGTH_BYTES + length)));
-      this.#rest = this.#rest.subarray(LENGTH_BYTES + length);
+      values.push(encoder.decode(this.#unread.subarray(LENGTH_BYTES, LENGTH_BYTES + length)));
+      this.#unread = this.#unread.subarray(LENGTH_BYTES + length);
     }
     return values;
   }
--- a/packages/link/src/handshake.ts
+++ b/packages/link/src/handshake.ts
@@ -1,12 +1,12 @@
-/** Mutual proof that both ends of a link know the shared key (HMAC-SHA-256 over both nonces). */
+/** Mutual authentication of both ends of a link by a shared key (HMAC-SHA-256 over both nonces). */
 import { createHmac, randomBytes, timingSafeEqual } from 'node:crypto';
 
 const NONCE_BYTES = 16;
 
-/** Version of the protocol between the system's processes. */
+/** Version of the link protocol. */
 export const LINK_VERSION = 1;
 
-/** Who speaks on a link. */
+/** Identity of the process at the connecting end of a link. */
 export type LinkIdentity = {
   readonly role: 'gateway' | 'controller' | 'entry' | 'tool';
   readonly name: string;
@@ -26,12 +26,12 @@
 /** Second frame of the connecting end. */
 export type Confirmation = { readonly proof: string };
 
-/** A random nonce, in hexadecimal. */
+/** Returns a random nonce in hexadecimal. */
 export function newNonce(): string {
   return randomBytes(NONCE_BYTES).toString('hex');
 }
 
-/** Proof of one end, bound to its side, its identity and both nonces. */
+/** Computes the proof of one end, bound to its side, the identity in the greeting and both nonces. */
 export function proofOf(
   key: string,
   side: 'accepting' | 'connecting',
--- a/packages/link/src/index.ts
+++ b/packages/link/src/index.ts
@@ -1,4 +1,4 @@
-/** Links between the system's own processes. */
+/** Authenticated TCP connections (links) between the processes of the system. */
 export * from './handshake.js';
 export * from './link-client.js';
 export * from './link-error.js';
--- a/packages/link/src/link-client.test.ts
+++ b/packages/link/src/link-client.test.ts
@@ -1,4 +1,4 @@
-/** Links over connections that go silent without a reset. */
+/** Tests links over connections that stop delivering data without a reset. */
 import { CutProxy } from '@hingescale/runtime/testing';
 import { expect } from 'chai';
 
@@ -33,7 +33,7 @@
     await server.stop();
   });
 
-  it('opens another connection once one has gone silent', async () => {
+  it('opens a new connection after a request timed out on a silent one', async () => {
     expect(await client.request('echo', 1, TIMEOUT_MS)).to.equal(1);
     proxy.silence();
     const lost = await client.request('echo', 2, TIMEOUT_MS).catch((error: Error) => error);
@@ -41,7 +41,7 @@
     expect(await client.request('echo', 3, TIMEOUT_MS)).to.equal(3);
   });
 
-  it('keeps its connection while other answers come on it', async () => {
+  it('keeps its connection after a timeout while other replies arrive on it', async () => {
     const slow = client.request('never', null, TIMEOUT_MS).catch((error: Error) => error);
     await client.request('echo', 1, TIMEOUT_MS);
     expect(await slow).to.be.an('error');
--- a/packages/link/src/link-client.ts
+++ b/packages/link/src/link-client.ts
@@ -1,4 +1,4 @@
-/** The connecting end of a link: owns one socket and matches replies to requests. */
+/** The connecting end of a link: keeps one connection and matches replies to requests. */
 import type { Socket } from 'node:net';
 import { connect } from 'node:net';
 
@@ -18,14 +18,14 @@
   readonly key: string;
   readonly identity: LinkIdentity;
   readonly connectTimeoutMs?: number;
-  /** Gets a line for each request, for golden files. */
+  /** Logs one line for each request; the golden files of tests contain these lines. */
   readonly log?: Log;
 };
 
 type Pending = {
-  /** Connection that the request left on. */
+  /** Connection on which the request was sent. */
   readonly socket: Socket;
-  /** Monotonic milliseconds. */
+  /** Time of sending, in monotonic milliseconds. */
   readonly sentAt: number;
   readonly resolve: (body: unknown) => void;
   readonly reject: (error: LinkError) => void;
@@ -33,15 +33,15 @@
 
 const DEFAULT_CONNECT_TIMEOUT_MS = 500;
 
-/** Sends requests over one connection, which it opens when needed. */
+/** Sends requests over one connection, which is opened on demand. */
 export class LinkClient {
   readonly address: string;
   readonly #options: LinkClientOptions;
   readonly #pending = new Map<number, Pending>();
   #socket: Promise<Socket> | undefined;
-  /** The connection that `#socket` has brought. */
-  #current: Socket | undefined;
-  /** When bytes last came from the peer (monotonic milliseconds). */
+  /** The authenticated connection with which `#socket` was resolved. */
+  #connected: Socket | undefined;
+  /** Time at which bytes were last received from the peer, in monotonic milliseconds. */
   #receivedAt = -Infinity;
   #nextId = 1;
   #closed = false;
@@ -51,7 +51,7 @@
     this.#options = options;
   }
 
-  /** Sends a request; a reply that comes after the timeout is dropped. */
+  /** Sends a request and returns the body of its reply; a reply received after the timeout is dropped. */
   async request<T>(type: string, body: unknown, timeoutMs: number): Promise<T> {
     if (this.#closed) {
       throw new LinkError('unreachable', 'link is closed');
@@ -61,18 +61,18 @@
     this.#options.log?.message('link', type);
     const id = this.#nextId++;
     return new Promise<T>((resolve, reject) => {
-      const limit = afterTurn(() => {
-        this.#timeOut(id, socket);
+      const timer = afterTurn(() => {
+        this.#handleTimeout(id, socket);
       }, timeoutMs);
       this.#pending.set(id, {
         socket,
         sentAt: performance.now(),
         resolve: value => {
-          limit.cancel();
+          timer.cancel();
           resolve(value as T);
         },
         reject: error => {
-          limit.cancel();
+          timer.cancel();
           reject(error);
         },
       });
@@ -80,7 +80,7 @@
     });
   }
 
-  /** Closes the connection; requests in progress are lost. */
+  /** Closes the connection; requests in progress fail with the reason `lost`. */
   close(): void {
     this.#closed = true;
     this.#socket?.then(
@@ -89,16 +89,16 @@
     );
   }
 
-  // A connection can go silent for good without a reset. One on which nothing came since the request
-  // was sent is closed, so that the next request opens another instead of waiting in vain as well.
-  #timeOut(id: number, socket: Socket): void {
-    const pending = this.#settle(id);
+  // A connection can stop delivering data for good without a reset. If nothing was received since the request was
+  // sent, the connection is closed, so that the next request opens a new one instead of timing out as well.
+  #handleTimeout(id: number, socket: Socket): void {
+    const pending = this.#takePending(id);
     if (pending === undefined) {
       return;
     }
     pending.reject(new LinkError('timeout', `no answer from ${this.address}`));
     if (this.#receivedAt < pending.sentAt) {
-      this.#lose(socket);
+      this.#dropConnection(socket);
       socket.destroy();
     }
   }
@@ -121,15 +121,15 @@
       identity,
       nonce: newNonce(),
     };
-    let trusted = false;
+    let authenticated = false;
     socket.on('connect', () => socket.write(encodeFrame(greeting)));
     return new Promise<Socket>((resolve, reject) => {
       const timer = setTimeout(
-        () => socket.destroy(new Error('connecting took too long')),
+        () => socket.destroy(new Error('connecting timed out')),
         this.#options.connectTimeoutMs ?? DEFAULT_CONNECT_TIMEOUT_MS,
       );
       const onValue = (value: unknown): void => {
-        if (trusted) {
+        if (authenticated) {
           this.#receive(value as LinkReply);
           return;
         }
@@ -143,8 +143,8 @@
             proof: proofOf(key, 'connecting', greeting, challenge.nonce),
           }),
         );
-        trusted = true;
-        this.#current = socket;
+        authenticated = true;
+        this.#connected = socket;
         reader.trust();
         clearTimeout(timer);
         resolve(socket);
@@ -163,15 +163,15 @@
       socket.on('close', () => {
         clearTimeout(timer);
         reject(new Error('connection closed'));
-        if (trusted) {
-          this.#lose(socket);
+        if (authenticated) {
+          this.#dropConnection(socket);
         }
       });
     });
   }
 
   #receive(reply: LinkReply): void {
-    const pending = this.#settle(reply.id);
+    const pending = this.#takePending(reply.id);
     if (reply.ok) {
       pending?.resolve(reply.body);
     } else {
@@ -179,10 +179,10 @@
     }
   }
 
-  // Requests on a connection that was opened in its place go on.
-  #lose(socket: Socket): void {
-    if (this.#current === socket) {
-      this.#current = undefined;
+  // Fails the requests sent on this connection; requests on a connection that replaced it continue.
+  #dropConnection(socket: Socket): void {
+    if (this.#connected === socket) {
+      this.#connected = undefined;
       this.#socket = undefined;
     }
     for (const [id, pending] of this.#pending) {
@@ -193,14 +193,14 @@
     }
   }
 
-  #settle(id: number): Pending | undefined {
+  #takePending(id: number): Pending | undefined {
     const pending = this.#pending.get(id);
     this.#pending.delete(id);
     return pending;
   }
 }
 
-/** Link clients by address, made on first use. */
+/** Holds one link client per address, created on first use. */
 export class LinkPool {
   readonly #clients = new Map<string, LinkClient>();
   readonly #options: Omit<LinkClientOptions, 'address'>;
@@ -209,7 +209,7 @@
     this.#options = options;
   }
 
-  /** The client for an address. */
+  /** Returns the client for an address. */
   to(address: string): LinkClient {
     let client = this.#clients.get(address);
     if (client === undefined) {
@@ -219,7 +219,7 @@
     return client;
   }
 
-  /** Closes clients whose address is no longer wanted. */
+  /** Closes and removes the clients whose address is not in the set. */
   keepOnly(addresses: ReadonlySet<string>): void {
     for (const [address, client] of this.#clients) {
       if (!addresses.has(address)) {
--- a/packages/link/src/link-error.ts
+++ b/packages/link/src/link-error.ts
@@ -1,4 +1,4 @@
-/** Errors of a link. */
+/** Errors of requests on a link. */
 
 /**
  * Why a request on a link failed. `unreachable`: it was never sent. `lost` and `timeout`: it may
--- a/packages/link/src/link-server.ts
+++ b/packages/link/src/link-server.ts
@@ -1,4 +1,4 @@
-/** The accepting end of links: owns the listening socket and answers requests. */
+/** The accepting end of links: owns the listening socket and dispatches requests to handlers. */
 import type { AddressInfo, Server, Socket } from 'node:net';
 import { createServer } from 'node:net';
 
@@ -8,37 +8,37 @@
 import type { Confirmation, Greeting, LinkIdentity } from './handshake.js';
 import { LINK_VERSION, newNonce, proofOf, sameProof } from './handshake.js';
 
-/** A request as it crosses a link. */
+/** A request as sent over a link. */
 export type LinkRequest = {
   readonly id: number;
   readonly type: string;
   readonly body: unknown;
 };
 
-/** The answer to a request. */
+/** The reply to a request, as sent over a link. */
 export type LinkReply =
   | { readonly id: number; readonly ok: true; readonly body: unknown }
   | { readonly id: number; readonly ok: false; readonly detail: string };
 
-/** Answers one type of request. */
+/** Handles one type of request and returns the body of the reply. */
 export type LinkHandler = (body: never, peer: LinkIdentity) => unknown;
 
 /** Options of a link server. */
 export type LinkServerOptions = {
-  /** `ip:port`; port 0 takes a free one. */
+  /** `ip:port` to listen on; port 0 selects a free port. */
   readonly listen: string;
   readonly key: string;
   readonly handlers: Readonly<Record<string, LinkHandler>>;
   readonly maxConnections?: number;
 };
 
-/** What a link server tells. */
+/** Events that a link server emits. */
 export type LinkServerMessages = { rejected: { readonly detail: string } };
 
 const GREETING_TIMEOUT_MS = 3_000;
 const DEFAULT_MAX_CONNECTIONS = 4_096;
 
-/** Accepts links from processes that know the key. */
+/** Accepts links from processes that prove knowledge of the shared key. */
 export class LinkServer extends Task<LinkServerMessages> {
   readonly #options: LinkServerOptions;
   readonly #sockets = new Set<Socket>();
@@ -49,7 +49,7 @@
     this.#options = options;
   }
 
-  /** Starts listening; gives the `ip:port` bound. */
+  /** Starts listening and returns the bound `ip:port`. */
   async listen(): Promise<string> {
     const { host, port } = splitAddress(this.#options.listen);
     const server = createServer({ noDelay: true }, socket => {
@@ -83,8 +83,8 @@
     this.#sockets.add(socket);
     const session = new ServerSession(socket, this.#options);
     socket.setTimeout(GREETING_TIMEOUT_MS, () => {
-      if (!session.trusted) {
-        this.#reject(socket, 'greeting took too long');
+      if (!session.authenticated) {
+        this.#reject(socket, 'handshake timed out');
       }
     });
     socket.on('data', bytes => {
@@ -104,48 +104,48 @@
   }
 }
 
-/** One accepted connection. */
+/** State of one accepted connection. */
 class ServerSession {
   readonly #socket: Socket;
   readonly #options: LinkServerOptions;
   readonly #reader = new FrameReader();
   readonly #nonce = newNonce();
   #greeting: Greeting | undefined;
-  trusted = false;
+  authenticated = false;
 
   constructor(socket: Socket, options: LinkServerOptions) {
     this.#socket = socket;
     this.#options = options;
   }
 
-  /** Takes received bytes; throws when the peer must be cut off. */
+  /** Processes received bytes; throws when the connection must be closed. */
   receive(bytes: Buffer): void {
     for (const value of this.#reader.feed(bytes)) {
       if (this.#greeting === undefined) {
-        this.#greet(value as Greeting);
-      } else if (!this.trusted) {
-        this.#confirm(value as Confirmation, this.#greeting);
+        this.#handleGreeting(value as Greeting);
+      } else if (!this.authenticated) {
+        this.#handleConfirmation(value as Confirmation, this.#greeting);
       } else {
         void this.#answer(value as LinkRequest, this.#greeting.identity);
       }
     }
   }
 
-  #greet(greeting: Greeting): void {
+  #handleGreeting(greeting: Greeting): void {
     if (greeting?.version !== LINK_VERSION || typeof greeting.nonce !== 'string') {
-      throw new Error('greeting of another protocol version');
+      throw new Error('greeting is malformed or has another protocol version');
     }
     this.#greeting = greeting;
     const proof = proofOf(this.#options.key, 'accepting', greeting, this.#nonce);
     this.#socket.write(encodeFrame({ nonce: this.#nonce, proof }));
   }
 
-  #confirm(confirmation: Confirmation, greeting: Greeting): void {
+  #handleConfirmation(confirmation: Confirmation, greeting: Greeting): void {
     const expected = proofOf(this.#options.key, 'connecting', greeting, this.#nonce);
     if (!sameProof(String(confirmation?.proof), expected)) {
       throw new Error('peer does not know the key');
     }
-    this.trusted = true;
+    this.authenticated = true;
     this.#reader.trust();
     this.#socket.setTimeout(0);
   }
--- a/packages/link/src/messages.ts
+++ b/packages/link/src/messages.ts
@@ -1,4 +1,4 @@
-/** Typed messages between gateways and controllers. */
+/** Messages between gateways and controllers. */
 import type {
   Certificate,
   ConfigurationRevision,
@@ -17,7 +17,7 @@
   burn: 'burn',
 } as const;
 
-/** A load report of a group's leader, as the engine gave it. */
+/** Load of a replica group, as reported by the engine on its head. */
 export type LoadReport = {
   readonly group: string;
   readonly running: number;
@@ -26,16 +26,16 @@
   readonly ageMs: number;
 };
 
-/** Cache events of a group's leader, renumbered by the controller that collected them. */
+/** Prefix cache events of a group's head, renumbered by the controller that collected them. */
 export type GroupCacheEvents = {
   readonly group: string;
-  /** Number to ask from next time. */
+  /** Event number from which the next poll continues. */
   readonly next: number;
   readonly stored: readonly string[];
   readonly evicted: readonly string[];
 };
 
-/** Where the failure domain's keys are owned, with the time for which it is vouched for. */
+/** Owners of a failure domain's idempotency keys, and how long this assignment is guaranteed to hold. */
 export type KeyGrant = {
   readonly failureDomain: FailureDomainId;
   readonly table: KeyOwnerTable;
@@ -43,24 +43,24 @@
   readonly remainingMs: number;
 };
 
-/** What a gateway or a remote controller asks a controller, every heartbeat. */
+/** Poll that a gateway or a remote controller sends to a controller at every heartbeat. */
 export type PollRequest = {
   readonly instance: string;
-  /** `ip:port` where the asking gateway answers others; empty when it owns no keys. */
+  /** `ip:port` of the link server of the polling gateway; empty when it owns no keys. */
   readonly address: string;
   readonly failureDomain: FailureDomainId;
   readonly role: 'gateway' | 'controller';
-  /** Highest configuration revision that the asker has in force; 0 for none. */
+  /** Highest configuration revision that the sender has applied; 0 for none. */
   readonly revision: number;
-  /** A newer configuration that the answerer asked for. */
+  /** A newer configuration that the receiver asked for. */
   readonly configuration?: ConfigurationRevision;
-  /** Version of each failure domain's view that the asker holds. */
+  /** Version of each failure domain's view that the sender holds. */
   readonly views: Readonly<Record<FailureDomainId, string>>;
-  /** Cache event number to go on from, by group. */
+  /** Cache event number from which to continue, by group. */
   readonly cacheFrom: Readonly<Record<string, number>>;
-  /** True when the asker leaves and must own no keys any more. */
+  /** True when the sender is about to stop and must no longer own keys. */
   readonly leaving: boolean;
-  /** Requests that the gateway runs per group, for limits that hold across gateways. */
+  /** Requests of the gateway per workspace and model, for limits that apply across gateways. */
   readonly usage: readonly WorkspaceUsage[];
 };
 
@@ -77,18 +77,18 @@
   readonly controller: string;
   /** True when the controller holds the lease of its failure domain. */
   readonly active: boolean;
-  /** True when it probes members and its certificates may be used. */
+  /** True when the controller probes members and its readiness certificates may be used. */
   readonly vouching: boolean;
-  /** Link address of the lease holder, as far as known. */
+  /** Link address of the last known lease holder. */
   readonly activeAddress: string;
   readonly revision: number;
   readonly configuration?: ConfigurationRevision;
-  /** True when the asker's configuration is newer and wanted. */
+  /** True when the sender of the poll has a newer configuration and should include it in its next poll. */
   readonly wantConfiguration: boolean;
-  /** Views that differ from those the asker holds. */
+  /** Views that differ from those that the sender of the poll holds. */
   readonly views: readonly DomainView[];
   readonly certificates: readonly Certificate[];
-  /** All orders to evacuate failure domains; undefined before the controller has read them. */
+  /** All evacuations of failure domains; undefined until the controller has read them. */
   readonly evacuations?: readonly VersionedEvacuation[];
   readonly loads: readonly LoadReport[];
   readonly cacheEvents: readonly GroupCacheEvents[];
