--- a/packages/cli/src/admin-client.ts
+++ b/packages/cli/src/admin-client.ts
@@ -1,4 +1,4 @@
-/** Client of the administration API; finds the active controller by itself. */
+/** Client of the administration API; it finds the active controller itself. */
 import type { BurnReport, ControllerStatus, ExplainedOrder } from '@hingescale/controller';
 import type {
   ConfigurationFile,
@@ -10,9 +10,9 @@
 import { monotonicMs, sleep, timeoutSignal } from '@hingescale/runtime';
 import { request } from 'undici';
 
-/** Why a call failed, as the command line tells it. */
+/** A failed call of the administration API, with the reason that selects the exit code. */
 export class AdminError extends Error {
-  /** `inactive`: no controller holds the lease at this moment, and one will. */
+  /** `inactive`: no controller holds the lease at present; one will acquire it. `unknown`: a write may have happened. */
   readonly reason: 'unreachable' | 'conflict' | 'findings' | 'refused' | 'unknown' | 'inactive';
   readonly findings: readonly Finding[];
 
@@ -24,22 +24,27 @@
   }
 }
 
-/** Where the administration API is and who asks. */
+/** URLs of the administration APIs and the operator key. */
 export type AdminOptions = { readonly urls: readonly string[]; readonly key: string };
 
+/** Time limit of one HTTP call, in milliseconds. */
 const TIMEOUT_MS = 5_000;
-/** Time for which a drain waits for an active controller, in milliseconds; the lease may just change hands. */
-const ACTIVE_WITHIN_MS = 10_000;
-const ASK_AGAIN_MS = 250;
+/** Time in milliseconds for which a drain is retried, as the lease may be changing its holder. */
+const DRAIN_RETRY_MS = 10_000;
+/** Pause between two attempts of a drain, in milliseconds. */
+const RETRY_DELAY_MS = 250;
 
-/** Reasons that pass by themselves. */
-const PASSING: readonly AdminError['reason'][] = ['inactive', 'unknown', 'unreachable'];
+/** Reasons that a retry may overcome. */
+const TRANSIENT_REASONS: readonly AdminError['reason'][] = ['inactive', 'unknown', 'unreachable'];
 
 type Method = 'GET' | 'POST' | 'PUT' | 'DELETE';
 
 type Answer = { readonly status: number; readonly body: unknown };
 
-/** Calls controllers; reads go to any that answers, changes of hosts to the active one. */
+/**
+ * Calls controllers: all of them for status, explanations and burn reports, the active one of the host's failure domain
+ * for drains, and the first that answers for the rest.
+ */
 export class AdminClient {
   readonly #options: AdminOptions;
 
@@ -47,14 +52,14 @@
     this.#options = options;
   }
 
-  /** Status of every controller that answers. */
+  /** Returns the status of every controller that answers. */
   async statuses(): Promise<ControllerStatus[]> {
     const answers = await Promise.allSettled(
       this.#options.urls.map(url => this.#send(url, 'GET', '/v1/status')),
     );
     const statuses = answers
       .filter(answer => answer.status === 'fulfilled')
-      .map(answer => checked(answer.value) as ControllerStatus);
+      .map(answer => bodyOrThrow(answer.value) as ControllerStatus);
     if (statuses.length === 0) {
       throw new AdminError(
         'unreachable',
@@ -64,48 +69,48 @@
     return statuses;
   }
 
-  /** The accepted configuration. */
+  /** Returns the accepted configuration. */
   async configuration(): Promise<ConfigurationRevision> {
-    return (await this.#any('GET', '/v1/configuration')) as ConfigurationRevision;
+    return (await this.#callFirstAnswering('GET', '/v1/configuration')) as ConfigurationRevision;
   }
 
-  /** Proposes the next revision. */
+  /** Proposes files as the revision after `base`; returns the accepted head. */
   async apply(
     files: readonly ConfigurationFile[],
     base: number,
     note: string,
   ): Promise<ConfigurationHead> {
-    return (await this.#any('POST', '/v1/configuration', {
+    return (await this.#callFirstAnswering('POST', '/v1/configuration', {
       base,
       note,
       files,
     })) as ConfigurationHead;
   }
 
-  /** The last orders about a group or a host, from every controller that knows it. */
+  /** Returns the last orders about a group or a host from every controller that knows it. */
   async explain(name: string): Promise<ExplainedOrder[]> {
     const path = `/v1/explain/${encodeURIComponent(name)}`;
     const answers = await Promise.allSettled(
       this.#options.urls.map(url => this.#send(url, 'GET', path)),
     );
-    const known = answers
+    const orders = answers
       .filter(answer => answer.status === 'fulfilled')
       .filter(answer => answer.value.status === 200)
       .flatMap(answer => (answer.value.body as { orders: ExplainedOrder[] }).orders);
     if (!answers.some(answer => answer.status === 'fulfilled' && answer.value.status === 200)) {
       throw new AdminError('refused', `no group or host ${name} is known`);
     }
-    return known;
+    return orders;
   }
 
-  /** Burn reports of all failure domains, each from the controller that hears the gateways. */
+  /** Returns the burn reports of all failure domains, each from the controller that receives the gateways' reports. */
   async burn(): Promise<BurnReport[]> {
     const answers = await Promise.allSettled(
       this.#options.urls.map(url => this.#send(url, 'GET', '/v1/report/burn')),
     );
     const reports = answers
       .filter(answer => answer.status === 'fulfilled')
-      .map(answer => checked(answer.value) as BurnReport);
+      .map(answer => bodyOrThrow(answer.value) as BurnReport);
     if (reports.length === 0) {
       throw new AdminError(
         'unreachable',
@@ -116,21 +121,21 @@
   }
 
   /**
-   * Drains a host, or takes that back, at the controller that is active for it; waits for one while the lease changes
-   * hands. Asked twice, a drain is the same.
+   * Drains a host, or ends its drain, at the controller that is active for it. Retries while the lease changes its
+   * holder; a retry is safe because a drain is idempotent.
    */
   async drain(host: string, draining: boolean): Promise<void> {
-    const until = monotonicMs() + ACTIVE_WITHIN_MS;
+    const deadlineMs = monotonicMs() + DRAIN_RETRY_MS;
     for (;;) {
       try {
         await this.#drainOnce(host, draining);
         return;
       } catch (error) {
-        const isPassing = error instanceof AdminError && PASSING.includes(error.reason);
-        if (!isPassing || monotonicMs() > until) {
+        const isTransient = error instanceof AdminError && TRANSIENT_REASONS.includes(error.reason);
+        if (!isTransient || monotonicMs() > deadlineMs) {
           throw error;
         }
-        await sleep(ASK_AGAIN_MS);
+        await sleep(RETRY_DELAY_MS);
       }
     }
   }
@@ -139,35 +144,37 @@
     const method = draining ? 'PUT' : 'DELETE';
     const path = `/v1/hosts/${encodeURIComponent(host)}/drain`;
     const statuses = await this.statuses();
-    const knowing = statuses.filter(status => status.hosts.some(entry => entry.host === host));
-    const owner = knowing.find(status => status.active);
-    if (owner === undefined) {
-      const reason = knowing.length === 0 ? 'refused' : 'inactive';
+    const candidates = statuses.filter(status => status.hosts.some(entry => entry.host === host));
+    const active = candidates.find(status => status.active);
+    if (active === undefined) {
+      const reason = candidates.length === 0 ? 'refused' : 'inactive';
       throw new AdminError(reason, `no active controller knows host ${host}`);
     }
-    checked(await this.#send(owner.lease?.adminAddress ?? '', method, path));
+    bodyOrThrow(await this.#send(active.lease?.adminAddress ?? '', method, path));
   }
 
-  /** Evacuates a failure domain, or ends its evacuation; returns the order in force. */
+  /** Evacuates a failure domain, or ends its evacuation; returns the evacuation order in force. */
   async evacuate(failureDomain: string, evacuated: boolean): Promise<Evacuation> {
     const path = `/v1/evacuations/${encodeURIComponent(failureDomain)}`;
-    return (await this.#any(evacuated ? 'PUT' : 'DELETE', path)) as Evacuation;
+    return (await this.#callFirstAnswering(evacuated ? 'PUT' : 'DELETE', path)) as Evacuation;
   }
 
-  /** Failure domains that are evacuated now. */
+  /** Returns the failure domains that are evacuated at present. */
   async evacuations(): Promise<readonly Evacuation[]> {
-    const { evacuations } = (await this.#any('GET', '/v1/evacuations')) as {
+    const { evacuations } = (await this.#callFirstAnswering('GET', '/v1/evacuations')) as {
       evacuations: readonly Evacuation[];
     };
     return evacuations;
   }
 
-  async #any(method: Method, path: string, body?: object): Promise<unknown> {
+  // Calls the controllers in the order of their URLs until one answers.
+  async #callFirstAnswering(method: Method, path: string, body?: object): Promise<unknown> {
     for (const url of this.#options.urls) {
       try {
-        return checked(await this.#send(url, method, path, body));
+        return bodyOrThrow(await this.#send(url, method, path, body));
       } catch (error) {
-        // A change may have been accepted before the connection broke; only reads go on.
+        // A POST may have been accepted before the connection broke, so it is not repeated at the next controller.
+        // Other methods go on only if this controller was unreachable or could not reach the platform.
         if (error instanceof AdminError && (method === 'POST' || error.reason !== 'unreachable')) {
           throw error;
         }
@@ -199,7 +206,8 @@
   }
 }
 
-function checked(answer: Answer): unknown {
+// Returns the body of a successful answer; throws an AdminError for any other.
+function bodyOrThrow(answer: Answer): unknown {
   const { status, body } = answer;
   if (status < 300) {
     return body;
--- a/packages/cli/src/bin-hingescale.ts
+++ b/packages/cli/src/bin-hingescale.ts
@@ -1,4 +1,4 @@
-/** Binary `hingescale`: the operators' command line. */
+/** Executable `hingescale`: the operators' command line. */
 import { formatFinding, readConfiguration } from '@hingescale/core';
 import { EXIT_CODES, printFindings, sleep, VERSION } from '@hingescale/runtime';
 import type { Argv } from 'yargs';
@@ -20,11 +20,14 @@
 import { traceFiles } from './trace.js';
 import { waitInForce } from './wait-in-force.js';
 
+/** Period of `status --watch`, in milliseconds. */
 const WATCH_MS = 1_000;
+/** Default time for which `apply --wait` waits, in seconds. */
 const DEFAULT_WAIT_S = 19;
-/** Given in place of a failure domain, asks for the list of evacuated ones. */
+/** Argument of `evacuate` that lists the evacuated failure domains instead of naming one. */
 const LIST_WORD = 'list';
 
+/** Exit code of each reason for which a call of the administration API fails. */
 const FAILURE_CODES: Readonly<Record<AdminError['reason'], number>> = {
   inactive: EXIT_CODES.unreachable,
   findings: EXIT_CODES.findings,
@@ -34,7 +37,8 @@
   unknown: EXIT_CODES.unconfirmed,
 };
 
-type Common = { readonly controllers: string; readonly key: string; readonly json: boolean };
+/** Options that all commands share. */
+type CommonOptions = { readonly controllers: string; readonly key: string; readonly json: boolean };
 
 await yargs(hideBin(process.argv))
   .scriptName('hingescale')
@@ -49,16 +53,20 @@
   .command(
     'check <paths..>',
     'check configuration files, offline',
-    builder => paths(builder).example('$0 check examples/acquiring', 'check a directory of files'),
+    builder =>
+      withPaths(builder).example('$0 check examples/acquiring', 'check a directory of files'),
     argv => {
       check(argv.paths as string[], argv.json);
     },
   )
   .command(
     'diff <paths..>',
-    'show what would change',
+    'show how files differ from the configuration in force',
     builder =>
-      paths(builder).example('$0 diff examples/acquiring', 'compare with what is in force'),
+      withPaths(builder).example(
+        '$0 diff examples/acquiring',
+        'compare with the configuration in force',
+      ),
     async argv => {
       const current = await clientOf(argv).configuration();
       const text = diffText(current.files, readFiles(argv.paths as string[]));
@@ -67,15 +75,23 @@
   )
   .command(
     'apply <paths..>',
-    'make files the next revision',
+    'submit files as the next revision',
     builder =>
-      paths(builder)
-        .option('note', { type: 'string', default: '', describe: 'why, for the history' })
+      withPaths(builder)
+        .option('note', {
+          type: 'string',
+          default: '',
+          describe: 'reason for the change, kept in the history',
+        })
         .option('base', {
           type: 'number',
-          describe: 'revision you started from; default: the present',
+          describe: 'revision that the files are based on; default: the current one',
+        })
+        .option('wait', {
+          type: 'boolean',
+          default: false,
+          describe: 'wait until the revision is in force everywhere',
         })
-        .option('wait', { type: 'boolean', default: false, describe: 'until in force everywhere' })
         .option('timeout', { type: 'number', default: DEFAULT_WAIT_S, describe: 'seconds to wait' })
         .example('$0 apply examples/acquiring --wait --note "night shift"', ''),
     async argv => {
@@ -84,7 +100,7 @@
   )
   .command(
     'trace <request> <files..>',
-    'tell the story of one request from log files of entry hosts',
+    'show the events of one request from log files of entry hosts',
     builder =>
       builder
         .positional('request', {
@@ -113,16 +129,16 @@
   )
   .command(
     'status',
-    'groups, hosts, processes and revisions',
+    'show groups, hosts, processes and revisions',
     builder =>
-      builder.option('watch', { type: 'boolean', default: false, describe: 'again and again' }),
+      builder.option('watch', { type: 'boolean', default: false, describe: 'repeat every second' }),
     async argv => {
       await status(argv, argv.watch);
     },
   )
   .command(
     'explain <name>',
-    'the last orders about a group or a host, with reasons',
+    'show the last orders about a group or a host, with reasons',
     builder => builder.positional('name', { type: 'string', demandOption: true }),
     async argv => {
       const orders = await clientOf(argv).explain(argv.name);
@@ -139,7 +155,7 @@
     builder =>
       builder
         .positional('host', { type: 'string', demandOption: true })
-        .option('undo', { type: 'boolean', default: false, describe: 'take the drain back' }),
+        .option('undo', { type: 'boolean', default: false, describe: 'end the drain' }),
     async argv => {
       await clientOf(argv).drain(argv.host, !argv.undo);
       print(`${argv.host}: ${argv.undo ? 'in use again' : 'draining'}`);
@@ -147,16 +163,16 @@
   )
   .command(
     'evacuate <domain>',
-    'send nothing new to the hosts of a failure domain',
+    'stop sending new requests to the hosts of a failure domain',
     builder =>
       builder
         .positional('domain', {
           type: 'string',
           demandOption: true,
-          describe: `failure domain, or '${LIST_WORD}' for those that are evacuated`,
+          describe: `failure domain, or '${LIST_WORD}' to list the evacuated ones`,
         })
-        .option('end', { type: 'boolean', default: false, describe: 'use it again' })
-        .example('$0 evacuate hall-b', 'requests in progress there end by themselves')
+        .option('end', { type: 'boolean', default: false, describe: 'end the evacuation' })
+        .example('$0 evacuate hall-b', 'requests in progress there are not interrupted')
         .example('$0 evacuate list', 'evacuated failure domains'),
     async argv => {
       await evacuate(argv, argv.domain, argv.end);
@@ -164,11 +180,15 @@
   )
   .command(
     'report <kind>',
-    'burn of service levels per workspace and model',
+    'report burn rates of service levels per workspace and model',
     builder =>
       builder
         .positional('kind', { choices: ['burn'] as const, demandOption: true })
-        .option('html', { type: 'boolean', default: false, describe: 'a page with bars' }),
+        .option('html', {
+          type: 'boolean',
+          default: false,
+          describe: 'print an HTML page with bars',
+        }),
     async argv => {
       const reports = await clientOf(argv).burn();
       if (argv.json) {
@@ -182,23 +202,23 @@
   .epilogue(
     'Exit codes: 0 ok, 1 failure, 2 findings, 3 conflict, 4 unreachable, 5 not confirmed or unknown.',
   )
-  .demandCommand(1, 'name a command')
+  .demandCommand(1, 'a command is required')
   .version(VERSION)
   .strict()
   .fail((message, error) => {
-    end(message, error as Error | undefined);
+    exitWithError(message, error as Error | undefined);
   })
   .parseAsync();
 
-function paths<T>(builder: Argv<T>): Argv<T & { paths: string[] | undefined }> {
+function withPaths<T>(builder: Argv<T>): Argv<T & { paths: string[] | undefined }> {
   return builder.positional('paths', {
     type: 'string',
     array: true,
-    describe: 'INI files or directories of them',
+    describe: 'INI files, or directories that contain them',
   }) as Argv<T & { paths: string[] | undefined }>;
 }
 
-function clientOf(argv: Common): AdminClient {
+function clientOf(argv: CommonOptions): AdminClient {
   const urls = argv.controllers.split(',').map(url => url.trim());
   return new AdminClient({ urls, key: argv.key });
 }
@@ -221,7 +241,7 @@
 }
 
 async function apply(
-  argv: Common,
+  argv: CommonOptions,
   files: readonly string[],
   options: { note: string; base?: number; wait: boolean; timeout: number },
 ): Promise<void> {
@@ -236,16 +256,16 @@
   if (!options.wait) {
     return;
   }
-  const behind = await waitInForce(client, head.revision, options.timeout * 1000);
-  if (behind.length > 0) {
-    print(`not confirmed: ${behind.join(', ')}`);
+  const unconfirmed = await waitInForce(client, head.revision, options.timeout * 1000);
+  if (unconfirmed.length > 0) {
+    print(`not confirmed: ${unconfirmed.join(', ')}`);
     process.exitCode = EXIT_CODES.unconfirmed;
   } else {
     print(`revision ${head.revision} is in force everywhere`);
   }
 }
 
-async function status(argv: Common, watch: boolean): Promise<void> {
+async function status(argv: CommonOptions, watch: boolean): Promise<void> {
   const client = clientOf(argv);
   do {
     const statuses = await client.statuses();
@@ -260,7 +280,7 @@
   } while (watch);
 }
 
-async function evacuate(argv: Common, domain: string, end: boolean): Promise<void> {
+async function evacuate(argv: CommonOptions, domain: string, end: boolean): Promise<void> {
   const client = clientOf(argv);
   if (domain === LIST_WORD) {
     const evacuations = await client.evacuations();
@@ -279,8 +299,8 @@
   }
 }
 
-// A user's error is one line, never a stack trace.
-function end(message: string | undefined, error: Error | undefined): never {
+// Prints an error as one line, without a stack trace, and exits.
+function exitWithError(message: string | undefined, error: Error | undefined): never {
   if (error instanceof AdminError) {
     printFindings(error.findings);
     process.stderr.write(`hingescale: ${error.message}\n`);
@@ -291,11 +311,11 @@
 }
 
 function trace(requestId: string, files: readonly string[]): void {
-  const story = traceFiles(requestId, files);
-  if (story.length === 0) {
-    process.stderr.write(`no line names request ${requestId}\n`);
+  const lines = traceFiles(requestId, files);
+  if (lines.length === 0) {
+    process.stderr.write(`no log line mentions request ${requestId}\n`);
     process.exitCode = EXIT_CODES.failure;
     return;
   }
-  print(story.join('\n'));
+  print(lines.join('\n'));
 }
--- a/packages/cli/src/files.ts
+++ b/packages/cli/src/files.ts
@@ -4,15 +4,15 @@
 
 import type { ConfigurationFile } from '@hingescale/core';
 
-/** All `.ini` files that the paths name, sorted by name. */
+/** Reads the given files and all `.ini` files of the given directories, sorted by name. */
 export function readFiles(paths: readonly string[]): ConfigurationFile[] {
   return paths
-    .flatMap(path => (statSync(path).isDirectory() ? filesIn(path) : [path]))
+    .flatMap(path => (statSync(path).isDirectory() ? iniFilesIn(path) : [path]))
     .map(path => ({ name: basename(path), text: readFileSync(path, 'utf8') }))
     .sort((a, b) => a.name.localeCompare(b.name));
 }
 
-function filesIn(directory: string): string[] {
+function iniFilesIn(directory: string): string[] {
   return readdirSync(directory)
     .filter(name => name.endsWith('.ini'))
     .map(name => join(directory, name));
--- a/packages/cli/src/index.ts
+++ b/packages/cli/src/index.ts
@@ -1,4 +1,4 @@
-/** The operators' command line, as parts. */
+/** Modules of the operators' command line, for use by other packages. */
 export * from './admin-client.js';
 export * from './burn-output.js';
 export * from './files.js';
--- a/packages/cli/src/output.ts
+++ b/packages/cli/src/output.ts
@@ -1,18 +1,18 @@
-/** Output of the command line: text for people, JSON for programs. */
+/** Formats the output of the command line: text for people, JSON for programs. */
 import type { ControllerStatus, ExplainedOrder } from '@hingescale/controller';
 import type { ConfigurationFile, ConfigurationHead, Evacuation } from '@hingescale/core';
 
-/** Writes a line. */
+/** Writes a text and a line break to standard output. */
 export function print(text: string): void {
   process.stdout.write(text + '\n');
 }
 
-/** Writes a value as JSON. */
+/** Writes a value to standard output as indented JSON. */
 export function printJson(value: unknown): void {
   print(JSON.stringify(value, undefined, 2));
 }
 
-/** Status of failure domains as text, one from each active controller or, where there is none, from another one. */
+/** Formats the status of each failure domain, from its active controller or, if none is active, from another one. */
 export function statusText(statuses: readonly ControllerStatus[]): string {
   const byDomain = new Map<string, ControllerStatus>();
   for (const status of statuses) {
@@ -24,14 +24,14 @@
   return [...byDomain.values()].map(domainText).join('\n\n');
 }
 
-/** The changes of a configuration, newest first. */
+/** Formats the revisions of a configuration, newest first. */
 export function historyText(head: ConfigurationHead): string {
   return [head, ...head.history]
     .map(entry => [entry.revision, entry.acceptedAt, entry.operator, entry.note || '-'].join('  '))
     .join('\n');
 }
 
-/** Evacuated failure domains, one a line. */
+/** Formats the evacuated failure domains, one per line. */
 export function evacuationsText(evacuations: readonly Evacuation[]): string {
   return evacuations.length === 0
     ? 'no failure domain is evacuated'
@@ -40,18 +40,18 @@
         .join('\n');
 }
 
-/** Orders with their reasons and the scores of the alternatives. */
+/** Formats orders with their reasons and the scores of the alternatives. */
 export function explanationText(orders: readonly ExplainedOrder[]): string {
   return orders
     .map(order => {
-      const scores = order.alternatives.map(({ name, score }) => `${name} ${format(score)}`);
-      const weighed = scores.length === 0 ? '' : ` [${scores.join('; ')}]`;
-      return `${order.at}  ${order.group || order.fabricDomain}: ${order.kind}: ${order.reason}${weighed}`;
+      const scores = order.alternatives.map(({ name, score }) => `${name} ${formatScore(score)}`);
+      const alternatives = scores.length === 0 ? '' : ` [${scores.join('; ')}]`;
+      return `${order.at}  ${order.group || order.fabricDomain}: ${order.kind}: ${order.reason}${alternatives}`;
     })
     .join('\n');
 }
 
-/** Lines that differ between two sets of files, per file. */
+/** Lists the lines removed from and added to each file, irrespective of their order. */
 export function diffText(
   before: readonly ConfigurationFile[],
   after: readonly ConfigurationFile[],
@@ -60,10 +60,10 @@
   return [...names]
     .sort()
     .flatMap(name => {
-      const old = linesOf(before, name);
-      const fresh = linesOf(after, name);
-      const removed = old.filter(line => !fresh.includes(line)).map(line => `- ${line}`);
-      const added = fresh.filter(line => !old.includes(line)).map(line => `+ ${line}`);
+      const oldLines = linesOf(before, name);
+      const newLines = linesOf(after, name);
+      const removed = oldLines.filter(line => !newLines.includes(line)).map(line => `- ${line}`);
+      const added = newLines.filter(line => !oldLines.includes(line)).map(line => `+ ${line}`);
       const changes = [...removed, ...added];
       return changes.length === 0 ? [] : [`${name}:`, ...changes];
     })
@@ -73,11 +73,11 @@
 function domainText(status: ControllerStatus): string {
   const certified = new Set(status.certificates.map(certificate => certificate.group));
   const groups = status.groups.map(group => {
-    const mark = certified.has(group.id) ? 'certified' : 'not certified';
+    const certification = certified.has(group.id) ? 'certified' : 'not certified';
     const { model, version } = group.content;
-    return `  group ${group.id}  ${group.state}  ${mark}  ${model}@${version}  epoch ${group.epoch}`;
+    return `  group ${group.id}  ${group.state}  ${certification}  ${model}@${version}  epoch ${group.epoch}`;
   });
-  const idle = status.hosts.filter(host => host.group === '');
+  const freeHosts = status.hosts.filter(host => host.group === '');
   const processes = [
     `  controller ${status.controller}  revision ${status.revision}  ${status.active ? 'active' : 'not active'}`,
     ...status.controllers
@@ -91,7 +91,7 @@
   return [
     `${status.failureDomain}: lease epoch ${status.lease?.epoch ?? 0}, revision ${status.revision}`,
     ...groups,
-    `  hosts: ${status.hosts.length}, of these free ${idle.length}, silent ${status.hosts.filter(host => !host.answering).length}, drained ${status.hosts.filter(host => host.cordoned).length}`,
+    `  hosts: ${status.hosts.length}, of these free ${freeHosts.length}, silent ${status.hosts.filter(host => !host.answering).length}, drained ${status.hosts.filter(host => host.cordoned).length}`,
     ...processes,
   ].join('\n');
 }
@@ -101,6 +101,6 @@
   return text.split('\n').filter(line => line.trim() !== '');
 }
 
-function format(score: number): string {
+function formatScore(score: number): string {
   return Number.isFinite(score) ? score.toFixed(1) : 'impossible';
 }
--- a/packages/cli/src/trace.test.ts
+++ b/packages/cli/src/trace.test.ts
@@ -23,10 +23,10 @@
     line(40, 'entry-2', 'lease lost', { term: 4 }),
   ].join('\n');
 
-  it('shows its lines in order, with what changed about its hosts and groups', () => {
-    const story = traceRequest('r1', [first, second]);
+  it('shows its lines in order, with the changes of its hosts and groups', () => {
+    const traced = traceRequest('r1', [first, second]);
     expect(
-      story.map(text => text.slice(0, 1) + text.split(' ').slice(2, 6).join(' ')),
+      traced.map(text => text.slice(0, 1) + text.split(' ').slice(2, 6).join(' ')),
     ).to.deep.equal([
       ' 2026-01-09T02:54:06.000Z entry-2 lease taken',
       ' 2026-01-09T02:54:07.000Z entry-2 host does',
@@ -36,33 +36,35 @@
     ]);
   });
 
-  it('shows evacuations from long before that its own entry host has heard of', () => {
-    const given = line(58, 'entry-1', 'request given up', { request: 'r4', reason: 'evacuated' });
-    const ordered = (process: string): string =>
+  it('shows evacuations from long before that the entry host of the request logged', () => {
+    const givenUp = line(58, 'entry-1', 'request given up', { request: 'r4', reason: 'evacuated' });
+    const evacuated = (process: string): string =>
       line(1, process, 'failure domain evacuated', { failureDomain: 'a' });
-    const story = traceRequest('r4', [[ordered('entry-1'), ordered('entry-2'), given].join('\n')]);
-    expect(story.map(text => text.split(' ').slice(2, 6).join(' '))).to.deep.equal([
+    const traced = traceRequest('r4', [
+      [evacuated('entry-1'), evacuated('entry-2'), givenUp].join('\n'),
+    ]);
+    expect(traced.map(text => text.split(' ').slice(2, 6).join(' '))).to.deep.equal([
       '2026-01-09T02:54:01.000Z entry-1 failure domain',
       'entry-1 request given up',
     ]);
   });
 
-  it('shows why a request is in quarantine, and no verdict on others', () => {
-    const given = line(58, 'entry-1', 'request given up', {
+  it('shows why a request is in quarantine, and no quarantine of other requests', () => {
+    const givenUp = line(58, 'entry-1', 'request given up', {
       request: 'r5',
       reason: 'quarantined',
       fingerprint: 'f1',
     });
-    const verdict = (fingerprint: string): string =>
+    const quarantined = (fingerprint: string): string =>
       line(1, 'entry-2', 'request quarantined', { fingerprint, ended: 'h1,h2,h3' });
-    const story = traceRequest('r5', [[verdict('f1'), verdict('f2'), given].join('\n')]);
-    expect(story.map(text => text.split(' ').slice(2, 6).join(' '))).to.deep.equal([
+    const traced = traceRequest('r5', [[quarantined('f1'), quarantined('f2'), givenUp].join('\n')]);
+    expect(traced.map(text => text.split(' ').slice(2, 6).join(' '))).to.deep.equal([
       '2026-01-09T02:54:01.000Z entry-2 request quarantined',
       'entry-1 request given up',
     ]);
   });
 
-  it('tells nothing of a request that no file names', () => {
+  it('returns no lines for a request that no file mentions', () => {
     expect(traceRequest('r3', [first, second])).to.deep.equal([]);
   });
 });
--- a/packages/cli/src/trace.ts
+++ b/packages/cli/src/trace.ts
@@ -1,7 +1,7 @@
-/** `hingescale trace`: the story of one request, from the log files of several entry hosts. */
+/** `hingescale trace`: shows the events of one request from the log files of several entry hosts. */
 import { readFileSync } from 'node:fs';
 
-/** One line of a log. */
+/** A log line in JSON format. */
 type LogLine = {
   readonly time: string;
   readonly process: string;
@@ -9,8 +9,8 @@
   readonly [field: string]: unknown;
 };
 
-/** Messages that tell what the order giver and the hosts believed. */
-const BELIEFS = new Set([
+/** Messages about the state that the lease holder and the entry hosts knew of hosts, groups and dependencies. */
+const KNOWN_STATE_MESSAGES = new Set([
   'answer older than what is known',
   'capacity changed',
   'configuration applied',
@@ -28,53 +28,53 @@
   'order sent',
   'store came back from an older copy',
 ]);
-/** Messages about evacuations: one from long before the request may explain why no host could take it. */
-const EVACUATIONS = new Set([
+/** Messages about evacuations; one from long before the request may explain why no host was eligible for it. */
+const EVACUATION_MESSAGES = new Set([
   'failure domain evacuated',
   'failure domain evacuated anew',
   'evacuation ended',
 ]);
-/** Messages about requests that crash hosts: the verdict may be much older than the request that it refuses. */
-const QUARANTINE = new Set([
+/** Messages about requests that crash hosts; a quarantine may be much older than the request that it refuses. */
+const QUARANTINE_MESSAGES = new Set([
   'request quarantined',
   'request left quarantine',
   'trial of a quarantined request',
 ]);
-/** Messages that matter only from the processes that had the request. */
-const OF_ONE_PROCESS = new Set([
+/** Messages that are relevant only from the processes that handled the request. */
+const HANDLING_PROCESS_MESSAGES = new Set([
   'answer older than what is known',
   'configuration applied',
   'dependency lost',
   'dependency regained',
   'store came back from an older copy',
-  ...EVACUATIONS,
+  ...EVACUATION_MESSAGES,
 ]);
-/** Fields that stand at the beginning of each printed line. */
-const LEADING_FIELDS = new Set(['time', 'process', 'message', 'level', 'steadyMs']);
-/** Beliefs this long before and after the request are shown, in milliseconds. */
-const AROUND_MS = 5_000;
+/** Fields that are not printed as `name=value`: they form the start of a printed line or are left out. */
+const UNLISTED_FIELDS = new Set(['time', 'process', 'message', 'level', 'steadyMs']);
+/** Changes of known state are shown this long before the request's first and after its last line, in milliseconds. */
+const CONTEXT_MS = 5_000;
 
 /**
- * Lines of one request in order, and between them what changed about the hosts and groups that it
- * was sent to. Lines that are not of the log's format are passed over.
+ * Returns the lines of one request in order of time, and between them the changes of the hosts and groups that it was
+ * sent to. Lines that are not in the JSON log format are skipped.
  */
 export function traceRequest(requestId: string, texts: readonly string[]): readonly string[] {
   const lines = texts.flatMap(readLines).sort((a, b) => a.time.localeCompare(b.time));
-  const own = lines.filter(line => line.request === requestId);
-  const first = own[0];
-  const last = own.at(-1);
+  const requestLines = lines.filter(line => line.request === requestId);
+  const first = requestLines[0];
+  const last = requestLines.at(-1);
   if (first === undefined || last === undefined) {
     return [];
   }
-  const places = placesOf(own);
-  const processes = new Set(own.map(line => line.process));
-  const from = Date.parse(first.time) - AROUND_MS;
-  const to = Date.parse(last.time) + AROUND_MS;
-  const told = new Set<string>();
+  const subjects = subjectsOf(requestLines);
+  const processes = new Set(requestLines.map(line => line.process));
+  const from = Date.parse(first.time) - CONTEXT_MS;
+  const to = Date.parse(last.time) + CONTEXT_MS;
+  const reported = new Set<string>();
   return lines
-    .filter(line => line.request === requestId || isBelief(line, places, from, to))
-    .filter(line => !OF_ONE_PROCESS.has(line.message) || processes.has(line.process))
-    .filter(line => isNew(line, told))
+    .filter(line => line.request === requestId || isContext(line, subjects, from, to))
+    .filter(line => !HANDLING_PROCESS_MESSAGES.has(line.message) || processes.has(line.process))
+    .filter(line => isFirstReport(line, reported))
     .map(line => formatLine(line, line.request === requestId));
 }
 
@@ -88,7 +88,7 @@
 
 function readLines(text: string): LogLine[] {
   return text.split('\n').flatMap(line => {
-    // What stands before the object, such as a collector's prefix, is dropped.
+    // Drops text before the JSON object, such as the prefix of a log collector.
     const start = line.indexOf('{"time"');
     if (start < 0) {
       return [];
@@ -101,51 +101,58 @@
   });
 }
 
-function placesOf(lines: readonly LogLine[]): ReadonlySet<string> {
-  const places = new Set<string>();
+// Collects the hosts, groups and fingerprints that the lines name.
+function subjectsOf(lines: readonly LogLine[]): ReadonlySet<string> {
+  const subjects = new Set<string>();
   for (const line of lines) {
     for (const value of [line.host, line.group, line.faultyHost, line.fingerprint]) {
       if (typeof value === 'string') {
-        places.add(value);
+        subjects.add(value);
       }
     }
     if (typeof line.sentTo === 'string') {
-      line.sentTo.split(',').forEach(host => places.add(host));
+      line.sentTo.split(',').forEach(host => subjects.add(host));
     }
   }
-  return places;
+  return subjects;
 }
 
-function isBelief(line: LogLine, places: ReadonlySet<string>, from: number, to: number): boolean {
+// Whether a line of other requests or of none helps to explain the traced request.
+function isContext(
+  line: LogLine,
+  subjects: ReadonlySet<string>,
+  from: number,
+  to: number,
+): boolean {
   const at = Date.parse(line.time);
-  if (EVACUATIONS.has(line.message)) {
+  if (EVACUATION_MESSAGES.has(line.message)) {
     return at <= to;
   }
-  if (QUARANTINE.has(line.message)) {
-    return at <= to && typeof line.fingerprint === 'string' && places.has(line.fingerprint);
+  if (QUARANTINE_MESSAGES.has(line.message)) {
+    return at <= to && typeof line.fingerprint === 'string' && subjects.has(line.fingerprint);
   }
-  if (!BELIEFS.has(line.message) || at < from || at > to) {
+  if (!KNOWN_STATE_MESSAGES.has(line.message) || at < from || at > to) {
     return false;
   }
   const named = [line.host, line.group].filter(value => typeof value === 'string');
-  return named.length === 0 || named.some(value => places.has(value));
+  return named.length === 0 || named.some(value => subjects.has(value));
 }
 
-// Many entry hosts tell of the same departure; one line is enough.
-function isNew(line: LogLine, told: Set<string>): boolean {
+// Many entry hosts report the same arrival or departure; only the first line of each is shown.
+function isFirstReport(line: LogLine, reported: Set<string>): boolean {
   if (line.message !== 'host departed' && line.message !== 'host arrived') {
     return true;
   }
   const key = `${line.message} ${String(line.host)}`;
-  const isFirst = !told.has(key);
-  told.add(key);
+  const isFirst = !reported.has(key);
+  reported.add(key);
   return isFirst;
 }
 
-function formatLine(line: LogLine, own: boolean): string {
+function formatLine(line: LogLine, isOfRequest: boolean): string {
   const fields = Object.entries(line)
-    .filter(([name, value]) => !LEADING_FIELDS.has(name) && value !== undefined)
+    .filter(([name, value]) => !UNLISTED_FIELDS.has(name) && value !== undefined)
     .map(([name, value]) => `${name}=${String(value)}`);
-  const mark = own ? '>' : ' ';
+  const mark = isOfRequest ? '>' : ' ';
   return `${mark} ${line.time} ${line.process} ${line.message} ${fields.join(' ')}`;
 }
--- a/packages/cli/src/wait-in-force.ts
+++ b/packages/cli/src/wait-in-force.ts
@@ -1,39 +1,40 @@
-/** Waits until a revision is in force on every process that is heard. */
+/** Waits until a revision is in force on every process that a controller reports. */
 import type { ControllerStatus } from '@hingescale/controller';
 import { monotonicMs, sleep } from '@hingescale/runtime';
 
 import type { AdminClient } from './admin-client.js';
 
-const STEP_MS = 200;
+/** Pause between two status queries, in milliseconds. */
+const POLL_INTERVAL_MS = 200;
 
-/** Processes that have not confirmed the revision when the time is over; none when all have. */
+/** Returns the processes that have not confirmed the revision when the time limit ends; empty as soon as all have. */
 export async function waitInForce(
   client: AdminClient,
   revision: number,
   timeoutMs: number,
 ): Promise<string[]> {
-  const until = monotonicMs() + timeoutMs;
+  const deadlineMs = monotonicMs() + timeoutMs;
   for (;;) {
-    const behind = notConfirmed(await client.statuses(), revision);
-    if (behind.length === 0 || monotonicMs() > until) {
-      return behind;
+    const unconfirmed = notConfirmed(await client.statuses(), revision);
+    if (unconfirmed.length === 0 || monotonicMs() > deadlineMs) {
+      return unconfirmed;
     }
-    await sleep(STEP_MS);
+    await sleep(POLL_INTERVAL_MS);
   }
 }
 
-/** Names of processes with a lower revision. */
+/** Names of the controllers and gateways that report a lower revision, sorted. */
 export function notConfirmed(statuses: readonly ControllerStatus[], revision: number): string[] {
-  const behind = new Set<string>();
+  const unconfirmed = new Set<string>();
   for (const status of statuses) {
     if (status.revision < revision) {
-      behind.add(status.controller);
+      unconfirmed.add(status.controller);
     }
     for (const gateway of status.gateways) {
       if (gateway.revision < revision) {
-        behind.add(gateway.instance);
+        unconfirmed.add(gateway.instance);
       }
     }
   }
-  return [...behind].sort();
+  return [...unconfirmed].sort();
 }
--- a/packages/runtime/src/binary.ts
+++ b/packages/runtime/src/binary.ts
@@ -1,4 +1,4 @@
-/** What the binaries share: arguments, settings, exit codes, signals. */
+/** Common parts of the executables: arguments, settings, exit codes and signals. */
 import type { Finding } from '@hingescale/core';
 import { formatFinding } from '@hingescale/core';
 import yargs from 'yargs';
@@ -7,25 +7,25 @@
 import type { SettingsOf, SettingsSchema } from './settings.js';
 import { readSettings } from './settings.js';
 
-/** Exit codes of all binaries. */
+/** Exit codes of all executables. */
 export const EXIT_CODES = {
   ok: 0,
-  /** Something failed that is not the user's fault. */
+  /** The program failed for a reason that is neither a finding nor one of those below. */
   failure: 1,
   /** Arguments, settings or a configuration have findings. */
   findings: 2,
-  /** The change conflicts with another operator's. */
+  /** The change conflicts with another operator's change. */
   conflict: 3,
   /** The platform or the active controller can not be reached. */
   unreachable: 4,
-  /** Not everything was confirmed within the time given. */
+  /** Some processes did not confirm a change within the time limit, or the outcome of a write is unknown. */
   unconfirmed: 5,
 } as const;
 
-/** Version of the programs. */
+/** Version of all executables. */
 export const VERSION = '0.1.0';
 
-/** What a server binary consists of. */
+/** Describes a server executable: its name, settings schema and start function. */
 export type ServerBinary<S extends SettingsSchema> = {
   readonly name: string;
   readonly description: string;
@@ -33,15 +33,15 @@
   readonly start: (settings: SettingsOf<S>) => Promise<RunningServer>;
 };
 
-/** A started server. */
+/** Handle by which a started server is drained and stopped. */
 export type RunningServer = {
-  /** Finishes what is in progress; resolves when all of it is done. */
+  /** Waits until all work in progress is finished. */
   readonly drain: () => Promise<void>;
-  /** Ends at once. */
+  /** Stops the server at once, without waiting for work in progress. */
   readonly stop: () => Promise<void>;
 };
 
-/** Runs a server binary until a signal ends it. */
+/** Starts a server executable, which then runs until a signal ends it. */
 export async function runServer<S extends SettingsSchema>(binary: ServerBinary<S>): Promise<void> {
   const settings = await parseArguments(binary);
   let server: RunningServer;
@@ -54,7 +54,7 @@
   installSignals(server);
 }
 
-/** Prints findings, one a line. */
+/** Prints findings to standard error, one per line. */
 export function printFindings(findings: readonly Finding[]): void {
   for (const finding of findings) {
     process.stderr.write(formatFinding(finding) + '\n');
@@ -98,14 +98,14 @@
   return settings.value;
 }
 
-// The first signal drains; a second one ends the process at once.
+// The first signal drains the server before it stops; a second one stops it at once.
 function installSignals(server: RunningServer): void {
-  let signals = 0;
+  let signalCount = 0;
   const onSignal = (): void => {
-    signals += 1;
-    const ending = signals === 1 ? server.drain().then(() => server.stop()) : server.stop();
-    const code = signals === 1 ? EXIT_CODES.ok : EXIT_CODES.failure;
-    ending.then(
+    signalCount += 1;
+    const shutdown = signalCount === 1 ? server.drain().then(() => server.stop()) : server.stop();
+    const code = signalCount === 1 ? EXIT_CODES.ok : EXIT_CODES.failure;
+    shutdown.then(
       () => process.exit(code),
       (error: unknown) => {
         process.stderr.write(`stopping failed: ${String((error as Error).stack)}\n`);
--- a/packages/runtime/src/clock.test.ts
+++ b/packages/runtime/src/clock.test.ts
@@ -1,4 +1,7 @@
-/** Guards against taking an answer for late that waited in a socket while this process did not run. */
+/**
+ * Guards against time limits that reject an answer as late although it had arrived: it waited in a socket while this
+ * process did not run.
+ */
 import { createServer } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { Worker } from 'node:worker_threads';
@@ -10,35 +13,35 @@
 
 const LIMIT_MS = 120;
 
-/** Does not let the event loop turn, as a suspension of the process does. */
+/** Blocks the event loop for a time in milliseconds, as a suspension of the process does. */
 function block(ms: number): void {
   Atomics.wait(new Int32Array(new SharedArrayBuffer(4)), 0, 0, ms);
 }
 
 describe('time limits of a process that did not run', () => {
-  it('let an answer pass that had come before they were looked at', async () => {
-    const answers = new Int32Array(new SharedArrayBuffer(Int32Array.BYTES_PER_ELEMENT));
+  it('accept an answer that arrived before the limit was checked', async () => {
+    const deliveredAnswers = new Int32Array(new SharedArrayBuffer(Int32Array.BYTES_PER_ELEMENT));
     const path = new URL('./testing/late-answer.js', import.meta.url).pathname;
-    const worker = new Worker(path, { workerData: answers });
+    const worker = new Worker(path, { workerData: deliveredAnswers });
     const port = await new Promise<number>(resolve => worker.once('message', resolve));
     const url = `http://127.0.0.1:${port}/`;
-    // Opens the connection, so that only the answer is left to be read.
+    // The first request opens the connection, so that the second has only its answer to read.
     await (await request(url)).body.dump();
-    while (Atomics.load(answers, 0) === 0) {
+    while (Atomics.load(deliveredAnswers, 0) === 0) {
       await sleep(1);
     }
-    const answered = request(url, { signal: timeoutSignal(LIMIT_MS) });
+    const pendingAnswer = request(url, { signal: timeoutSignal(LIMIT_MS) });
     await sleep(5);
-    // The event loop stands still until the answer is there and the limit is over, and runs timers next: so it does
-    // after a suspension in the middle of a wait for sockets.
+    // Blocks the event loop until the answer has arrived and the limit has passed. The loop runs timers next, as it does
+    // after a suspension during its wait for sockets.
     await new Promise(resolve => setImmediate(resolve));
-    Atomics.wait(answers, 0, 1);
+    Atomics.wait(deliveredAnswers, 0, 1);
     block(LIMIT_MS);
-    expect((await answered).statusCode).to.equal(200);
+    expect((await pendingAnswer).statusCode).to.equal(200);
     await worker.terminate();
   });
 
-  it('end a call that is not answered', async () => {
+  it('abort a call that is not answered', async () => {
     const server = createServer(() => undefined);
     await new Promise<void>(resolve => server.listen(0, '127.0.0.1', resolve));
     const { port } = server.address() as AddressInfo;
@@ -51,7 +54,7 @@
     server.close();
   });
 
-  it('can be taken back until they have called', async () => {
+  it('can be cancelled until their callback has run', async () => {
     let calls = 0;
     const limit = afterTurn(() => (calls += 1), 5);
     block(20);
--- a/packages/runtime/src/clock.ts
+++ b/packages/runtime/src/clock.ts
@@ -2,12 +2,12 @@
 import { performance } from 'node:perf_hooks';
 import { setTimeout as sleepFor } from 'node:timers/promises';
 
-/** Milliseconds of a monotonic clock; only differences within one process mean anything. */
+/** Reads a monotonic clock in milliseconds; only differences between readings of the same process are meaningful. */
 export function monotonicMs(): number {
   return performance.now();
 }
 
-/** Waits; ends early without an error when the signal is raised. */
+/** Waits for a time in milliseconds; returns early, without an error, when the signal is aborted. */
 export async function sleep(ms: number, signal?: AbortSignal): Promise<void> {
   try {
     await sleepFor(ms, undefined, { signal });
@@ -18,17 +18,18 @@
   }
 }
 
-/** A time limit that can be taken back. */
+/** Handle of a pending time limit; after `cancel` its callback is not called. */
 export type TimeLimit = { readonly cancel: () => void };
 
 /**
- * Calls back after a time and one more turn of the event loop. After a time in which this process did not run, what
- * has arrived meanwhile is read first: an answer that waits in a socket is not late because its reader was.
+ * Calls `callback` after a time in milliseconds and one further turn of the event loop. If this process did not run for
+ * a while, the data that arrived meanwhile is thus read first: an answer that already waits in a socket is not late
+ * just because this process was.
  */
-export function afterTurn(call: () => void, ms: number): TimeLimit {
+export function afterTurn(callback: () => void, ms: number): TimeLimit {
   let immediate: NodeJS.Immediate | undefined;
   const timer = setTimeout(() => {
-    immediate = setImmediate(call);
+    immediate = setImmediate(callback);
   }, ms);
   return {
     cancel: () => {
@@ -38,7 +39,7 @@
   };
 }
 
-/** A signal that is raised like that, for calls whose libraries take one. */
+/** Returns a signal that is aborted after a time limit of the kind above, for libraries that accept a signal. */
 export function timeoutSignal(ms: number): AbortSignal {
   const controller = new AbortController();
   const timer = setTimeout(() => {
@@ -50,29 +51,29 @@
   return controller.signal;
 }
 
-/** Waits for some time, or until it is woken; leaves nothing behind when it is woken early. */
+/** A wait that another caller can end early; its timer and listener are then removed. */
 export class WakeableSleep {
   #wake: (() => void) | undefined;
 
-  /** Waits; ends early when woken or when the signal is raised. */
+  /** Waits for a time in milliseconds; returns early when woken or when the signal is aborted. */
   async sleep(ms: number, signal: AbortSignal): Promise<void> {
-    const early = new AbortController();
+    const wakeController = new AbortController();
     this.#wake = () => {
-      early.abort();
+      wakeController.abort();
     };
-    const onStop = this.#wake;
-    signal.addEventListener('abort', onStop);
+    const onAbort = this.#wake;
+    signal.addEventListener('abort', onAbort);
     try {
       if (!signal.aborted) {
-        await sleep(ms, early.signal);
+        await sleep(ms, wakeController.signal);
       }
     } finally {
-      signal.removeEventListener('abort', onStop);
+      signal.removeEventListener('abort', onAbort);
       this.#wake = undefined;
     }
   }
 
-  /** Ends the present wait, if there is one. */
+  /** Ends the current wait, if there is one. */
   wake(): void {
     this.#wake?.();
   }
--- a/packages/runtime/src/event-loop-watch.test.ts
+++ b/packages/runtime/src/event-loop-watch.test.ts
@@ -1,11 +1,11 @@
-/** A process that was suspended must know it before it judges others by their silence. */
+/** Guards against a suspended process that resumes and takes others for silent before it detects its own suspension. */
 import { expect } from 'chai';
 
 import { EventLoopWatch } from './event-loop-watch.js';
 import type { Log } from './log.js';
 import { Metrics } from './metrics.js';
 
-describe('the watch over the event loop', () => {
+describe('event loop watch', () => {
   let now: number;
   let warnings: number;
   let watch: EventLoopWatch;
@@ -17,7 +17,7 @@
     watch = new EventLoopWatch({ log, metrics: new Metrics(), now: () => now });
   });
 
-  it('tells of an interruption at the first question after it', () => {
+  it('reports an interruption at the first query after it', () => {
     now += 1_400;
     expect(watch.resumedAt()).to.equal(2_400);
     now += 100;
@@ -25,7 +25,7 @@
     expect(warnings).to.equal(1);
   });
 
-  it('takes usual delays for none', () => {
+  it('does not report usual delays', () => {
     for (let turn = 0; turn < 20; turn++) {
       now += 200;
       expect(watch.resumedAt()).to.equal(-Infinity);
--- a/packages/runtime/src/event-loop-watch.ts
+++ b/packages/runtime/src/event-loop-watch.ts
@@ -1,30 +1,31 @@
 /**
- * Notices when this process did not run: it was suspended, got no processor, or its event loop was blocked. A process
- * has no evidence about others for that time: their messages wait in its sockets, and its own time limits have passed.
+ * Detects when this process did not run: it was suspended, got no processor time, or its event loop was blocked. The
+ * process has no evidence about others for that time: their messages wait in its sockets, while its own time limits
+ * have expired.
  */
 import { monotonicMs, sleep } from './clock.js';
 import type { Log } from './log.js';
 import type { Metrics } from './metrics.js';
 import { Task } from './task.js';
 
-/** Time between two looks at the clock, in milliseconds. */
-const TICK_MS = 100;
-/** Least delay of a look that counts as an interruption, in milliseconds. */
-const LEAST_INTERRUPTION_MS = 250;
+/** Time between two checks of the clock, in milliseconds. */
+const CHECK_INTERVAL_MS = 100;
+/** Minimum delay of a check that counts as an interruption, in milliseconds. */
+const MIN_INTERRUPTION_MS = 250;
 
-/** Options of the watch; `now` is a monotonic clock in milliseconds. */
+/** Options of an EventLoopWatch; `now` reads a monotonic clock in milliseconds. */
 export type EventLoopWatchOptions = {
   readonly log: Log;
   readonly metrics: Metrics;
   readonly now?: () => number;
 };
 
-/** Watches the event loop of this process. */
+/** Detects interruptions of this process by the delay of a periodic check; counts and logs them. */
 export class EventLoopWatch extends Task<Record<never, never>> {
   readonly #log: Log;
   readonly #metrics: Metrics;
   readonly #now: () => number;
-  #lookedAt: number;
+  #checkedAt: number;
   #resumedAt = -Infinity;
 
   constructor({ log, metrics, now = monotonicMs }: EventLoopWatchOptions) {
@@ -32,7 +33,7 @@
     this.#log = log;
     this.#metrics = metrics;
     this.#now = now;
-    this.#lookedAt = now();
+    this.#checkedAt = now();
   }
 
   /** Starts watching. */
@@ -40,28 +41,29 @@
     this.run(async () => {
       while (!this.stopped) {
         const startedAt = this.#now();
-        await sleep(TICK_MS, this.signal);
-        const lateMs = Math.max(0, this.#now() - startedAt - TICK_MS);
+        await sleep(CHECK_INTERVAL_MS, this.signal);
+        const lateMs = Math.max(0, this.#now() - startedAt - CHECK_INTERVAL_MS);
         this.#metrics.histogram('event_loop_late').record(lateMs);
-        this.#look();
+        this.#checkDelay();
       }
     });
   }
 
   /**
-   * When the process ran again after it was last interrupted, in monotonic milliseconds; -Infinity: it never was.
-   * Also tells of an interruption that has just ended, before any timer of this watch has run.
+   * Returns when the process resumed after its last interruption, in monotonic milliseconds, or -Infinity if there was
+   * none. Includes an interruption that has just ended, even if no timer of this watch has run since.
    */
   resumedAt(): number {
-    this.#look();
+    this.#checkDelay();
     return this.#resumedAt;
   }
 
-  #look(): void {
+  // Records an interruption if this check is later than due.
+  #checkDelay(): void {
     const now = this.#now();
-    const lateMs = now - this.#lookedAt - TICK_MS;
-    this.#lookedAt = now;
-    if (lateMs >= LEAST_INTERRUPTION_MS) {
+    const lateMs = now - this.#checkedAt - CHECK_INTERVAL_MS;
+    this.#checkedAt = now;
+    if (lateMs >= MIN_INTERRUPTION_MS) {
       this.#resumedAt = now;
       this.#metrics.count('interruptions_total');
       this.#log.warn('this process did not run for a while', { lateMs: Math.round(lateMs) });
--- a/packages/runtime/src/http-server.ts
+++ b/packages/runtime/src/http-server.ts
@@ -1,4 +1,4 @@
-/** HTTP servers by express, with limits on slow and large requests and problem documents. */
+/** HTTP servers based on express, with limits on slow requests and connections, and problem documents for errors. */
 import type { Server } from 'node:http';
 import { createServer } from 'node:http';
 import type { Server as TlsServer } from 'node:https';
@@ -16,39 +16,41 @@
 
 /** Limits of an HTTP server. */
 export type HttpLimits = {
-  /** Longest time for a whole header, in milliseconds. */
+  /** Time limit for receiving all headers of a request, in milliseconds. */
   readonly headersTimeoutMs: number;
-  /** Longest time for a whole request, in milliseconds. */
+  /** Time limit for receiving a whole request, in milliseconds. */
   readonly requestTimeoutMs: number;
   readonly maxConnections: number;
   /** Certificate and key files; without them the server speaks plain HTTP. */
   readonly tls?: TlsFiles;
 };
 
-/** Limits that fit most servers. */
+/** Default limits, for servers whose settings name no others. */
 export const DEFAULT_HTTP_LIMITS: HttpLimits = {
   headersTimeoutMs: 10_000,
   requestTimeoutMs: 30_000,
   maxConnections: 20_000,
 };
 
+/** Period in which connections are checked for requests over their time limits, in milliseconds. */
 const TIMEOUT_CHECK_MS = 500;
+/** Period in which a draining server closes connections that have become idle, in milliseconds. */
 const IDLE_CHECK_MS = 50;
-/** Idle connections are kept longer than clients keep theirs, so that they close first. */
+/** Time in milliseconds for which idle connections are kept: longer than clients keep theirs, so that they close first. */
 const KEEP_ALIVE_MS = 65_000;
 
-/** A listening HTTP server. */
+/** A listening HTTP server and the functions that end it. */
 export type HttpServer = {
   readonly server: Server;
-  /** `ip:port` it listens on. */
+  /** `ip:port` on which the server listens. */
   readonly address: string;
-  /** Stops listening and waits until the requests in progress are done. */
+  /** Stops listening and waits until the requests in progress are finished. */
   readonly drain: () => Promise<void>;
-  /** Ends all connections at once. */
+  /** Stops listening and closes all connections at once. */
   readonly stop: () => Promise<void>;
 };
 
-/** Makes an express application with the settings all servers share. */
+/** Creates an express application with the settings that all servers share. */
 export function createApp(): Express {
   const app = express();
   app.disable('x-powered-by');
@@ -56,7 +58,7 @@
   return app;
 }
 
-/** Listens on `ip:port`; port 0 takes a free one. */
+/** Serves an application on `ip:port`; port 0 selects a free port. */
 export async function listenHttp(
   app: Express,
   listen: string,
@@ -82,10 +84,10 @@
     server.once('error', reject);
     server.listen(port, host, resolve);
   });
-  const bound = server.address() as AddressInfo;
+  const boundAddress = server.address() as AddressInfo;
   return {
     server,
-    address: `${host}:${bound.port}`,
+    address: `${host}:${boundAddress.port}`,
     drain: () => drainServer(server),
     stop: () => {
       stopReloading?.();
@@ -94,7 +96,7 @@
   };
 }
 
-/** Sends a problem document. */
+/** Sends an error as a problem document, with the request's id and `Retry-After` if they are known. */
 export function sendProblem(response: Response, problem: ProblemError): void {
   const requestId = response.getHeader(REQUEST_ID_HEADER);
   const document = problem.toDocument(requestId === undefined ? undefined : String(requestId));
@@ -106,15 +108,15 @@
   response.end(JSON.stringify(document));
 }
 
-/** Adds the last handlers: unknown paths, and errors as problem documents. */
-export function finishApp(app: Express, onInternal: (error: Error) => void): void {
+/** Adds the final handlers, which answer unknown paths and errors with problem documents. */
+export function finishApp(app: Express, onInternalError: (error: Error) => void): void {
   app.use((request: Request, _response: Response, next: NextFunction) => {
     const detail = `no such path: ${request.path}`;
     next(new ProblemError({ status: 404, code: 'unknown-path', detail }));
   });
   app.use((error: Error, _request: Request, response: Response, next: NextFunction) => {
     if (response.headersSent) {
-      // A stream that already ended with its error event must still reach the caller.
+      // A stream that has already ended with its error event is left alone, so that the event reaches the caller.
       if (!response.writableEnded) {
         response.destroy();
       }
@@ -122,14 +124,14 @@
     }
     const problem = toProblem(error);
     if (problem.reason === 'internal') {
-      onInternal(error);
+      onInternalError(error);
     }
     sendProblem(response, problem);
     void next;
   });
 }
 
-/** The problem that an error of express or of a handler stands for. */
+/** Converts an error of express or of a handler to a problem. */
 export function toProblem(error: Error): ProblemError {
   if (error instanceof ProblemError) {
     return error;
@@ -158,7 +160,7 @@
   });
 }
 
-/** Handler for a path that knows other methods only. */
+/** Returns a handler that refuses methods other than the allowed ones of a path. */
 export function methodNotAllowed(allowed: string) {
   return (request: Request, response: Response): void => {
     response.setHeader('Allow', allowed);
@@ -167,20 +169,20 @@
   };
 }
 
-// Requests that never became whole: too slow, or not HTTP.
+// Answers a request that did not arrive as a whole: it was too slow or not valid HTTP.
 function answerClientError(error: Error & { code?: string }, socket: Duplex): void {
   if (!socket.writable || error.code === 'ECONNRESET') {
     socket.destroy();
     return;
   }
-  const slow = error.code === 'ERR_HTTP_REQUEST_TIMEOUT';
-  const status = slow ? 408 : 400;
-  const code = slow ? 'request-timeout' : 'malformed-body';
-  const detail = slow ? 'the request took too long to arrive' : 'not a valid HTTP request';
+  const isTimeout = error.code === 'ERR_HTTP_REQUEST_TIMEOUT';
+  const status = isTimeout ? 408 : 400;
+  const code = isTimeout ? 'request-timeout' : 'malformed-body';
+  const detail = isTimeout ? 'the request took too long to arrive' : 'not a valid HTTP request';
   const body = JSON.stringify(new ProblemError({ status, code, detail }).toDocument());
   socket.end(
     [
-      `HTTP/1.1 ${status} ${slow ? 'Request Timeout' : 'Bad Request'}`,
+      `HTTP/1.1 ${status} ${isTimeout ? 'Request Timeout' : 'Bad Request'}`,
       `Content-Type: ${PROBLEM_MEDIA_TYPE}`,
       `Content-Length: ${Buffer.byteLength(body)}`,
       'Connection: close',
@@ -190,7 +192,7 @@
   );
 }
 
-// Connections that become idle while others still work are closed as well.
+// Also closes connections that become idle while others still have requests in progress.
 function drainServer(server: Server): Promise<void> {
   return new Promise(resolve => {
     const timer = setInterval(() => {
--- a/packages/runtime/src/index.ts
+++ b/packages/runtime/src/index.ts
@@ -1,4 +1,4 @@
-/** What all processes share: settings, logs, metrics, HTTP servers, tasks, clocks. */
+/** Common parts of all processes: settings, logs, metrics, HTTP servers, tasks and clocks. */
 export * from './address.js';
 export * from './binary.js';
 export * from './clock.js';
--- a/packages/runtime/src/log.test.ts
+++ b/packages/runtime/src/log.test.ts
@@ -1,9 +1,10 @@
+/** Guards against consola's throttle, which drops lines that differ only in their fields. */
 import { expect } from 'chai';
 
 import { createLog } from './log.js';
 
 describe('log of a process', () => {
-  it('writes every line, however alike and close together', () => {
+  it('writes every line of a rapid series of similar lines', () => {
     const lines: string[] = [];
     const log = createLog({ process: 'g1', level: 'trace', format: 'json' }, line => {
       lines.push(line);
--- a/packages/runtime/src/log.ts
+++ b/packages/runtime/src/log.ts
@@ -1,18 +1,18 @@
-/** Logs by consola: lines only for changes of state, never a key, a prompt or an answer. */
+/** Logs written with consola. Only changes of state are logged, and never a key, a prompt or an answer. */
 import type { ConsolaInstance, LogObject } from 'consola';
 import { createConsola, LogLevels } from 'consola';
 
-/** Levels that settings may name; `trace` also prints a line for each message between processes. */
+/** Levels allowed in settings; `trace` also writes a line for each message between processes. */
 export const LOG_LEVELS = ['error', 'warn', 'info', 'debug', 'trace'] as const;
-/** One of the levels that settings may name. */
+/** A level allowed in settings. */
 export type LogLevel = (typeof LOG_LEVELS)[number];
 
-/** How lines are written. */
+/** Line formats allowed in settings. */
 export const LOG_FORMATS = ['text', 'json'] as const;
-/** One of the ways lines are written. */
+/** A line format allowed in settings. */
 export type LogFormat = (typeof LOG_FORMATS)[number];
 
-/** Fields that a line may carry. */
+/** Fields of a line, by name; `undefined` values are not written. */
 export type LogFields = {
   readonly request?: string;
   readonly group?: string;
@@ -22,30 +22,30 @@
   readonly [field: string]: string | number | boolean | undefined;
 };
 
-/** Writes lines about changes of state. */
+/** Writes log lines at each level. */
 export type Log = {
   readonly error: (message: string, fields?: LogFields) => void;
   readonly warn: (message: string, fields?: LogFields) => void;
   readonly info: (message: string, fields?: LogFields) => void;
   readonly debug: (message: string, fields?: LogFields) => void;
-  /** A message between processes, for golden files; off unless the level is `trace`. */
+  /** Logs a message between processes, for golden files; written only at level `trace`. */
   readonly message: (channel: string, name: string, fields?: LogFields) => void;
 };
 
-/** Options of a log. */
+/** Options of a log; `process` is the name that each line carries. */
 export type LogOptions = {
   readonly process: string;
   readonly level: LogLevel;
   readonly format: LogFormat;
 };
 
-/** Makes the log of a process; lines go to standard error unless another sink is given. */
+/** Creates the log of a process; `write` receives each line and writes to standard error by default. */
 export function createLog(
   options: LogOptions,
   write: (line: string) => void = line => process.stderr.write(line),
 ): Log {
   const consola = createConsola({
-    // Lines carry their meaning in fields that the library's throttle does not compare.
+    // consola's throttle would drop lines that differ only in their fields, because it does not compare fields.
     throttle: 0,
     level: LogLevels[options.level],
     reporters: [
@@ -56,27 +56,27 @@
       },
     ],
   });
-  const tracing = options.level === 'trace';
+  const isTracing = options.level === 'trace';
   return {
-    error: writer(consola, 'error'),
-    warn: writer(consola, 'warn'),
-    info: writer(consola, 'info'),
-    debug: writer(consola, 'debug'),
+    error: levelWriter(consola, 'error'),
+    warn: levelWriter(consola, 'warn'),
+    info: levelWriter(consola, 'info'),
+    debug: levelWriter(consola, 'debug'),
     message: (channel, name, fields) => {
-      if (tracing) {
+      if (isTracing) {
         consola.trace({ message: name, fields: { channel, ...fields } });
       }
     },
   };
 }
 
-/** A log that drops everything, for tests. */
+/** Creates a log that discards all lines, for tests. */
 export function silentLog(): Log {
-  const drop = (): void => undefined;
-  return { error: drop, warn: drop, info: drop, debug: drop, message: drop };
+  const discard = (): void => undefined;
+  return { error: discard, warn: discard, info: discard, debug: discard, message: discard };
 }
 
-function writer(
+function levelWriter(
   consola: ConsolaInstance,
   level: 'error' | 'warn' | 'info' | 'debug',
 ): (message: string, fields?: LogFields) => void {
@@ -99,9 +99,9 @@
     };
     return JSON.stringify(record) + '\n';
   }
-  const tail = Object.entries(fields)
+  const fieldsText = Object.entries(fields)
     .filter(([, value]) => value !== undefined)
     .map(([name, value]) => ` ${name}=${String(value)}`)
     .join('');
-  return `${time} ${line.type} ${options.process} ${message}${tail}\n`;
+  return `${time} ${line.type} ${options.process} ${message}${fieldsText}\n`;
 }
--- a/packages/runtime/src/settings.ts
+++ b/packages/runtime/src/settings.ts
@@ -1,4 +1,4 @@
-/** Settings of a process: an INI file, environment overrides, checked whole. */
+/** Settings of a process, from an INI file and environment variables; all findings are reported together. */
 import { readFileSync } from 'node:fs';
 
 import type { Finding } from '@hingescale/core';
@@ -22,35 +22,35 @@
 /** Prefix of environment variables that override settings: `HINGESCALE_SECTION_KEY`. */
 export const ENVIRONMENT_PREFIX = 'HINGESCALE_';
 
-/** Sections of a settings file, each with its schema. */
+/** Schemas of the sections of a settings file, by section name. */
 export type SettingsSchema = Readonly<Record<string, z.ZodObject>>;
 
-/** The settings a schema describes. */
+/** Type of the settings that a schema describes. */
 export type SettingsOf<S extends SettingsSchema> = {
   readonly [Section in keyof S]: z.infer<S[Section]>;
 };
 
-/** `[process]`: who the process is and where it stands. */
+/** `[process]`: name and failure domain of the process. */
 export const processSection = z.strictObject({
   name: textField(),
   'failure-domain': textField(),
 });
 
-/** `[platform]`: where the platform's API is. */
+/** `[platform]`: URL and time limits of the platform's API. */
 export const platformSection = z.strictObject({
   url: urlField(),
   'timeout-ms': integerField(10, 60_000).default(2_000),
   'watch-wait-ms': integerField(10, 120_000).default(20_000),
 });
 
-/** `[links]`: the system's own connections. */
+/** `[links]`: connections between processes of the system. */
 export const linksSection = z.strictObject({
   listen: addressField(),
-  /** Shared key by which processes of the system know each other. */
+  /** Shared key by which processes of the system authenticate each other. */
   key: textField().refine(key => key.length >= 16, 'must have at least 16 characters'),
   /** Controllers of the same failure domain. */
   controllers: listField(),
-  /** Controllers of other failure domains, for configuration. */
+  /** Controllers of other failure domains, with which configuration is exchanged. */
   'remote-controllers': listField(),
 });
 
@@ -64,11 +64,11 @@
   'key-memory-ms': integerField(1_000, 86_400_000).default(600_000),
   'clock-skew-ms': integerField(0, 600_000).default(5_000),
   'drain-ms': integerField(100, 3_600_000).default(120_000),
-  /** Silence after which other failure domains take over a domain's replicas. */
+  /** Time without a report from a failure domain after which the others take over its replicas. */
   'absent-ms': integerField(100, 86_400_000).default(60_000),
 });
 
-/** `[log]`: how lines are written. */
+/** `[log]`: level and format of log lines. */
 export const logSection = z.strictObject({
   level: z.enum(LOG_LEVELS, { message: `must be one of ${LOG_LEVELS.join(', ')}` }).default('info'),
   format: z
@@ -76,7 +76,7 @@
     .default('text'),
 });
 
-/** Checks the text of a settings file with environment overrides; gives all findings at once. */
+/** Checks the text of a settings file with environment overrides; returns the settings or all findings. */
 export function checkSettings<S extends SettingsSchema>(
   file: string,
   text: string,
@@ -105,7 +105,7 @@
   return Result.ok(values as SettingsOf<S>);
 }
 
-/** Reads and checks a settings file. */
+/** Reads and checks a settings file; a file that cannot be read is a finding too. */
 export function readSettings<S extends SettingsSchema>(
   file: string,
   schema: S,
@@ -128,8 +128,8 @@
 ): void {
   for (const [section, sectionSchema] of Object.entries(schema)) {
     for (const key of Object.keys(sectionSchema.shape)) {
-      const name = ENVIRONMENT_PREFIX + `${section}_${key}`.toUpperCase().replaceAll('-', '_');
-      const value = environment[name];
+      const variable = ENVIRONMENT_PREFIX + `${section}_${key}`.toUpperCase().replaceAll('-', '_');
+      const value = environment[variable];
       if (value !== undefined) {
         sections.set(section, { ...sections.get(section), [key]: value });
       }
--- a/packages/runtime/src/testing/cut-proxy.ts
+++ b/packages/runtime/src/testing/cut-proxy.ts
@@ -1,25 +1,25 @@
-/** A TCP forwarder that can be cut, for partitions between processes on loopback. */
+/** A TCP proxy that can stop forwarding, to simulate network partitions between processes on loopback. */
 import type { AddressInfo, Socket } from 'node:net';
 import { connect, createServer } from 'node:net';
 
 import { splitAddress } from '../address.js';
 
-/** Forwards connections to one address until it is cut. */
+/** Forwards connections to one address until `cut` is called. */
 export class CutProxy {
   readonly #target: string;
-  /** Connections that were made through this proxy. */
+  /** Number of connections that this proxy has accepted. */
   accepted = 0;
   readonly #sockets = new Set<Socket>();
   readonly #server = createServer(socket => {
     this.#accept(socket);
   });
-  #cut = false;
+  #isCut = false;
 
   constructor(target: string) {
     this.#target = target;
   }
 
-  /** Starts listening; gives `ip:port`. */
+  /** Starts listening; returns its `ip:port`. */
   async listen(): Promise<string> {
     await new Promise<void>(resolve => {
       this.#server.listen(0, '127.0.0.1', resolve);
@@ -27,13 +27,13 @@
     return `127.0.0.1:${(this.#server.address() as AddressInfo).port}`;
   }
 
-  /** Cuts everything: connections are held without any byte passing, as a partition does. */
+  /** Simulates a partition: open and new connections stay open, but no byte passes. */
   cut(): void {
-    this.#cut = true;
+    this.#isCut = true;
     this.silence();
   }
 
-  /** Open connections go silent for good, without a reset; new ones work. */
+  /** Stops forwarding on open connections for good, without a reset; new connections work. */
   silence(): void {
     for (const socket of this.#sockets) {
       socket.unpipe();
@@ -41,15 +41,15 @@
     }
   }
 
-  /** Lets new connections through again; held ones are dropped. */
+  /** Forwards new connections again; closes all open ones. */
   heal(): void {
-    this.#cut = false;
+    this.#isCut = false;
     for (const socket of this.#sockets) {
       socket.destroy();
     }
   }
 
-  /** Ends the proxy. */
+  /** Closes all connections and stops listening. */
   async stop(): Promise<void> {
     for (const socket of this.#sockets) {
       socket.destroy();
@@ -63,20 +63,20 @@
 
   #accept(socket: Socket): void {
     this.accepted += 1;
-    this.#hold(socket);
-    if (this.#cut) {
+    this.#track(socket);
+    if (this.#isCut) {
       socket.pause();
       return;
     }
     const target = connect(splitAddress(this.#target));
-    this.#hold(target);
+    this.#track(target);
     socket.pipe(target);
     target.pipe(socket);
     socket.on('close', () => target.destroy());
     target.on('close', () => socket.destroy());
   }
 
-  #hold(socket: Socket): void {
+  #track(socket: Socket): void {
     this.#sockets.add(socket);
     socket.on('error', () => socket.destroy());
     socket.on('close', () => this.#sockets.delete(socket));
--- a/packages/runtime/src/testing/late-answer.ts
+++ b/packages/runtime/src/testing/late-answer.ts
@@ -1,21 +1,22 @@
-/** A worker with an HTTP server that tells through shared memory how many answers have left it. */
+/** A worker with an HTTP server that counts in shared memory how many of its answers have reached the client's socket. */
 import { createServer } from 'node:http';
 import type { AddressInfo } from 'node:net';
 import { parentPort, workerData } from 'node:worker_threads';
 
-const ANSWER_MS = 30;
-/** Time in which an answer crosses loopback, in milliseconds. */
-const ON_ITS_WAY_MS = 50;
+/** Time after which a request is answered, in milliseconds. */
+const ANSWER_DELAY_MS = 30;
+/** Time allowed for an answer to cross loopback, in milliseconds. */
+const DELIVERY_MS = 50;
 
-const answers = workerData as Int32Array;
+const deliveredAnswers = workerData as Int32Array;
 const server = createServer((_request, response) => {
   response.once('finish', () => {
     setTimeout(() => {
-      Atomics.add(answers, 0, 1);
-      Atomics.notify(answers, 0);
-    }, ON_ITS_WAY_MS);
+      Atomics.add(deliveredAnswers, 0, 1);
+      Atomics.notify(deliveredAnswers, 0);
+    }, DELIVERY_MS);
   });
-  setTimeout(() => response.end('ok'), ANSWER_MS);
+  setTimeout(() => response.end('ok'), ANSWER_DELAY_MS);
 });
 server.listen(0, '127.0.0.1', () => {
   parentPort?.postMessage((server.address() as AddressInfo).port);
--- a/packages/runtime/src/tls.test.ts
+++ b/packages/runtime/src/tls.test.ts
@@ -14,7 +14,7 @@
 const FIXTURES = join(dirname(fileURLToPath(import.meta.url)), '../../proofs/fixtures');
 
 describe('TLS', () => {
-  it('uses a new certificate for new connections and cuts no stream', async () => {
+  it('uses a new certificate for new connections and interrupts no stream', async () => {
     const directory = mkdtempSync(join(tmpdir(), 'hingescale-tls-'));
     const files = { certificate: join(directory, 'cert.pem'), key: join(directory, 'key.pem') };
     install('first', files);
@@ -43,7 +43,7 @@
     await server.stop();
   });
 
-  it('refuses half a pair', () => {
+  it('refuses a certificate without a key, but accepts settings without either', () => {
     expect(() => tlsFiles('cert.pem', undefined)).to.throw('must be given together');
     expect(tlsFiles(undefined, undefined)).to.equal(undefined);
   });
--- a/packages/runtime/src/tls.ts
+++ b/packages/runtime/src/tls.ts
@@ -1,21 +1,22 @@
-/** Certificates of HTTPS servers, read again when their files change. */
+/** Certificates of HTTPS servers, reloaded when their files change. */
 import { readFileSync, unwatchFile, watchFile } from 'node:fs';
 import type { Server } from 'node:https';
 
 /** Paths of a certificate and its key, in PEM. */
 export type TlsFiles = { readonly certificate: string; readonly key: string };
 
-/** Contents of the files. */
+/** Contents of a certificate file and its key file. */
 export type TlsContents = { readonly cert: Buffer; readonly key: Buffer };
 
-const CHECK_MS = 1_000;
+/** Period in which the certificate file is checked for changes, in milliseconds. */
+const CHECK_INTERVAL_MS = 1_000;
 
-/** Reads both files; throws when one can not be read. */
+/** Reads both files; throws if either cannot be read. */
 export function readTlsFiles(files: TlsFiles): TlsContents {
   return { cert: readFileSync(files.certificate), key: readFileSync(files.key) };
 }
 
-/** The files that two settings name; undefined when both are absent. */
+/** Returns the paths that two settings name, or undefined if both are absent; throws if only one is given. */
 export function tlsFiles(certificate?: string, key?: string): TlsFiles | undefined {
   if (certificate === undefined && key === undefined) {
     return undefined;
@@ -27,18 +28,18 @@
 }
 
 /**
- * Uses the new certificate for new connections when the certificate file changes; connections in
- * progress keep theirs. The key has to be in place first. Returns a function that ends the watch.
+ * Reloads the files when the certificate file changes. New connections use the new certificate; open ones keep theirs.
+ * A new key has to be written before its certificate. Returns a function that stops watching the file.
  */
 export function reloadOnChange(server: Server, files: TlsFiles): () => void {
   const reload = (): void => {
     try {
       server.setSecureContext(readTlsFiles(files));
     } catch {
-      // A half-written pair is read again with its next change; the old one stays in use.
+      // The pair may be half written. The old one stays in use until the certificate file changes again.
     }
   };
-  watchFile(files.certificate, { interval: CHECK_MS, persistent: false }, reload);
+  watchFile(files.certificate, { interval: CHECK_INTERVAL_MS, persistent: false }, reload);
   return () => {
     unwatchFile(files.certificate, reload);
   };
