--- a/packages/stand-ins/src/bin-stand-ins.ts
+++ b/packages/stand-ins/src/bin-stand-ins.ts
@@ -24,13 +24,13 @@
     'writes-per-second': integerField(1, 1e6).default(100),
     'reads-per-second': integerField(1, 1e6).default(2000),
     'weight-gigabytes-per-second': numberField(0.001, 1e9).default(100),
-    /** JSON file with the host list. */
+    /** Path of a JSON file with the host list. */
     'hosts-file': textField().optional(),
   }),
   engine: z.strictObject({
     listen: textField().optional(),
     'platform-url': urlField().default('http://127.0.0.1:1'),
-    /** `id@ip:port` of each host. */
+    /** Simulated hosts, each as `id@ip:port`. */
     hosts: listField(),
     'checks-fence': yesNoField().default(true),
     'token-ms': numberField(0.1, 10_000).default(ENGINE_DEFAULTS.tokenMs),
@@ -41,11 +41,12 @@
 
 async function start(settings: SettingsOf<typeof schema>): Promise<RunningServer> {
   const { platform, engine, service } = settings;
-  const started: { readonly stop: () => Promise<void> }[] = [];
+  const servers: { readonly stop: () => Promise<void> }[] = [];
   if (platform.listen !== undefined) {
-    const file = platform['hosts-file'];
-    const hosts = file === undefined ? [] : (JSON.parse(readFileSync(file, 'utf8')) as Host[]);
-    started.push(
+    const hostsFile = platform['hosts-file'];
+    const hosts =
+      hostsFile === undefined ? [] : (JSON.parse(readFileSync(hostsFile, 'utf8')) as Host[]);
+    servers.push(
       await startPlatform({
         listen: platform.listen,
         writesPerSecond: platform['writes-per-second'],
@@ -60,7 +61,7 @@
       const [id, listen] = item.split('@');
       return { id, listen };
     });
-    started.push(
+    servers.push(
       await startEngine({
         ...ENGINE_DEFAULTS,
         listen: engine.listen,
@@ -73,11 +74,11 @@
     );
   }
   for (const listen of service.listen) {
-    started.push(await startService(listen));
+    servers.push(await startService(listen));
   }
   createLog({ process: 'stand-ins', level: 'info', format: 'json' }).info('stand-ins started');
   const stop = async (): Promise<void> => {
-    await Promise.all(started.map(server => server.stop()));
+    await Promise.all(servers.map(server => server.stop()));
   };
   return { drain: stop, stop };
 }
--- a/packages/stand-ins/src/engine/app.ts
+++ b/packages/stand-ins/src/engine/app.ts
@@ -1,4 +1,4 @@
-/** Stand-in of the model engines: one process plays many hosts, each on a port of its own. */
+/** Stand-in for the model engines: one process simulates many hosts, each on its own port. */
 import type { HttpServer } from '@hingescale/runtime';
 import { createApp, listenHttp, sleep } from '@hingescale/runtime';
 import type { Express } from 'express';
@@ -11,22 +11,32 @@
 import { noFaults } from './host-faults.js';
 import type { RunRecord } from './run-record.js';
 
-/** Options of the engine stand-in. */
+/** Hosts, timing and cache behaviour of the engine stand-in. */
 export type EngineOptions = {
-  /** `ip:port` of the control routes. */
+  /** `ip:port` on which the control routes listen. */
   readonly listen: string;
-  /** Hosts to play: id and `ip:port`. */
+  /** Simulated hosts: id and the `ip:port` on which each listens. */
   readonly hosts: readonly { readonly id: string; readonly listen: string }[];
+  /** URL of the platform, whose weight store the hosts read from. */
   readonly platformUrl: string;
+  /** True if the hosts refuse stale orders, and requests that name another group or epoch. */
   readonly checksFence: boolean;
+  /** Time of one generation step, in milliseconds. */
   readonly tokenMs: number;
+  /** Age of load reports, in milliseconds. */
   readonly loadLagMs: number;
+  /** Number of prompt prefixes that the cache of a host holds. */
   readonly cacheCapacity: number;
+  /** Time until a cache event becomes visible, in milliseconds. */
   readonly cacheEventLagMs: number;
+  /** Every n-th cache event is dropped; 0 drops none. */
   readonly cacheDropEvery: number;
 };
 
-/** Usual options, to be spread. */
+/** Time between two attempts to read weights, in milliseconds. */
+const WEIGHT_RETRY_MS = 100;
+
+/** Default values of the options that concern timing, fencing and the cache. */
 export const ENGINE_DEFAULTS = {
   checksFence: true,
   tokenMs: 5,
@@ -36,15 +46,16 @@
   cacheDropEvery: 7,
 } as const;
 
-/** A running engine stand-in. */
+/** A running engine stand-in, with access to its hosts and to the requests they ran. */
 export type EngineStandIn = HttpServer & {
   readonly runs: readonly RunRecord[];
-  /** Addresses by host, `http://ip:port`. */
+  /** Addresses, as `http://ip:port`, by host id. */
   readonly addresses: ReadonlyMap<string, string>;
+  /** Returns a host by its id; throws if there is none. */
   readonly host: (id: string) => PlayedHost;
 };
 
-/** Starts the engine stand-in. */
+/** Starts all hosts of the engine stand-in and its control routes. */
 export async function startEngine(options: EngineOptions): Promise<EngineStandIn> {
   const engine = new Engine(options);
   await engine.start();
@@ -61,15 +72,15 @@
   };
 }
 
-/** One host with its server. */
+/** One simulated host: its engine state, its faults and its HTTP server. */
 export class PlayedHost {
   readonly faults: HostFaults = noFaults();
   readonly host: EngineHost;
-  /** Since when the host is dead, or undefined. */
+  /** Time at which the host died or froze, on the clock of `performance.now()`; undefined while it is up. */
   deadSince: number | undefined;
   #listen: string;
   #server: HttpServer | undefined;
-  #thaw: (() => void)[] = [];
+  #unfreezeWaiters: (() => void)[] = [];
 
   constructor(host: EngineHost, listen: string) {
     this.host = host;
@@ -82,20 +93,20 @@
 
   /** Starts or restarts the host with an empty engine. */
   async start(): Promise<void> {
-    const app = hostApp(this.host, this.faults, () => this.#thawed());
+    const app = hostApp(this.host, this.faults, () => this.#untilUnfrozen());
     this.#server = await listenHttp(app, this.#listen);
     this.#listen = this.#server.address;
     this.deadSince = undefined;
   }
 
-  /** The host dies: its state is lost and its connections are cut. */
+  /** Simulates the death of the host: discards its state, stops its server and cuts its connections. */
   async kill(): Promise<void> {
     this.deadSince ??= performance.now();
     this.host.lose();
     await this.#server?.stop();
   }
 
-  /** Switches faults. */
+  /** Changes the given faults. Switching `frozen` off lets the held requests continue. */
   setFaults(change: Partial<HostFaults>): void {
     Object.assign(this.faults, change);
     this.host.slowness = this.faults.slowness;
@@ -103,26 +114,27 @@
       this.deadSince ??= performance.now();
     } else {
       this.deadSince = undefined;
-      const thaw = this.#thaw;
-      this.#thaw = [];
-      thaw.forEach(wake => {
-        wake();
+      const waiters = this.#unfreezeWaiters;
+      this.#unfreezeWaiters = [];
+      waiters.forEach(resume => {
+        resume();
       });
     }
   }
 
-  /** Ends the host. */
+  /** Stops the timers and the server of the host; requests held by `frozen` continue first. */
   async stop(): Promise<void> {
     this.host.stop();
     this.setFaults({ frozen: false });
     await this.#server?.stop();
   }
 
-  #thawed(): Promise<void> {
-    return new Promise(resolve => this.#thaw.push(resolve));
+  #untilUnfrozen(): Promise<void> {
+    return new Promise(resolve => this.#unfreezeWaiters.push(resolve));
   }
 }
 
+// All simulated hosts of the process and the requests that they ran.
 class Engine {
   readonly runs: RunRecord[] = [];
   readonly #hosts = new Map<string, PlayedHost>();
@@ -131,30 +143,30 @@
   constructor(options: EngineOptions) {
     this.#options = options;
     for (const { id, listen } of options.hosts) {
-      this.#hosts.set(id, new PlayedHost(this.#makeHost(id), listen));
+      this.#hosts.set(id, new PlayedHost(this.#createHost(id), listen));
     }
   }
 
   async start(): Promise<void> {
-    for (const played of this.#hosts.values()) {
-      await played.start();
+    for (const simulated of this.#hosts.values()) {
+      await simulated.start();
     }
   }
 
   async stop(): Promise<void> {
-    await Promise.all([...this.#hosts.values()].map(played => played.stop()));
+    await Promise.all([...this.#hosts.values()].map(simulated => simulated.stop()));
   }
 
   addresses(): Map<string, string> {
-    return new Map([...this.#hosts].map(([id, played]) => [id, played.address]));
+    return new Map([...this.#hosts].map(([id, simulated]) => [id, simulated.address]));
   }
 
   host(id: string): PlayedHost {
-    const played = this.#hosts.get(id);
-    if (played === undefined) {
+    const simulated = this.#hosts.get(id);
+    if (simulated === undefined) {
       throw new Error(`no host ${id}`);
     }
-    return played;
+    return simulated;
   }
 
   controlApp(): Express {
@@ -166,36 +178,36 @@
     app.get('/control/hosts', (_request, response) => {
       const hosts = [...this.#hosts.values()];
       response.json(
-        hosts.map(played => ({
-          address: played.address,
-          ...played.host.state(),
+        hosts.map(simulated => ({
+          address: simulated.address,
+          ...simulated.host.state(),
         })),
       );
     });
     app.put('/control/hosts/:id/faults', (httpRequest, response) => {
-      const played = this.host(httpRequest.params.id);
-      played.setFaults(httpRequest.body as Partial<HostFaults>);
-      response.json(played.faults);
+      const simulated = this.host(httpRequest.params.id);
+      simulated.setFaults(httpRequest.body as Partial<HostFaults>);
+      response.json(simulated.faults);
     });
     app.post('/control/hosts/:id/:action', async (httpRequest, response) => {
-      await this.#act(this.host(httpRequest.params.id), httpRequest.params.action);
+      await this.#runAction(this.host(httpRequest.params.id), httpRequest.params.action);
       response.json({});
     });
     return app;
   }
 
-  async #act(played: PlayedHost, action: string): Promise<void> {
+  async #runAction(simulated: PlayedHost, action: string): Promise<void> {
     if (action === 'kill') {
-      await played.kill();
+      await simulated.kill();
     } else if (action === 'restart') {
-      await played.kill();
-      await played.start();
+      await simulated.kill();
+      await simulated.start();
     } else if (action === 'forget-streams') {
-      played.host.forgetStreams();
+      simulated.host.forgetStreams();
     }
   }
 
-  #makeHost(id: string): EngineHost {
+  #createHost(id: string): EngineHost {
     const { checksFence, tokenMs, loadLagMs } = this.#options;
     const { cacheCapacity, cacheEventLagMs, cacheDropEvery } = this.#options;
     return new EngineHost({
@@ -214,11 +226,11 @@
 
   #missingForMs(members: readonly string[]): number {
     const now = performance.now();
-    const since = members.map(member => this.#hosts.get(member)?.deadSince ?? now);
-    return now - Math.min(now, ...since);
+    const deathTimes = members.map(member => this.#hosts.get(member)?.deadSince ?? now);
+    return now - Math.min(now, ...deathTimes);
   }
 
-  // A load that the weight store does not serve is tried again until an order replaces it.
+  // Retries until the weight store answers. The host ignores the result if an order has replaced the load meanwhile.
   async #readWeights(gigabytes: number): Promise<void> {
     const url = `${this.#options.platformUrl}/v1/weights/read`;
     const body = JSON.stringify({ gigabytes });
@@ -229,7 +241,7 @@
         await response.body.dump();
         return;
       } catch {
-        await sleep(100);
+        await sleep(WEIGHT_RETRY_MS);
       }
     }
   }
--- a/packages/stand-ins/src/engine/engine-host.ts
+++ b/packages/stand-ins/src/engine/engine-host.ts
@@ -1,4 +1,4 @@
-/** State of one host of the engine stand-in: membership, orders, batch of streams. */
+/** Engine state of one simulated host: group membership, orders and the batch of streams. */
 import { randomUUID } from 'node:crypto';
 
 import type { EngineLoad, HostOrder, HostStateReport, LoadOrder } from '@hingescale/core';
@@ -8,37 +8,43 @@
 import { PrefixCache } from './prefix-cache.js';
 import type { RunRecord } from './run-record.js';
 
-/** Options of an engine host. */
+/** Timing and cache of an engine host, and its links to the weight store, its group and the records. */
 export type EngineHostOptions = {
   readonly id: string;
+  /** True if the host refuses stale orders, and requests that name another group or epoch. */
   readonly checksFence: boolean;
-  /** Time of one generation step. */
+  /** Time of one generation step, in milliseconds. */
   readonly tokenMs: number;
-  /** Age of load reports. */
+  /** Age of load reports, in milliseconds. */
   readonly loadLagMs: number;
+  /** Number of prompt prefixes that the cache holds. */
   readonly cacheCapacity: number;
+  /** Time until a cache event becomes visible, in milliseconds. */
   readonly cacheEventLagMs: number;
+  /** Every n-th cache event is dropped; 0 drops none. */
   readonly cacheDropEvery: number;
-  /** Reads weights from the weight store. */
+  /** Reads that many gigabytes from the weight store. */
   readonly readWeights: (gigabytes: number) => Promise<void>;
-  /** Milliseconds since a member of the group went missing; 0 when all are there. */
+  /** Milliseconds since the first missing member of the group died or froze; 0 if none is missing. */
   readonly missingForMs: (members: readonly string[]) => number;
+  /** Receives the record of each request when its generation starts; the record is updated afterwards. */
   readonly record: (run: RunRecord) => void;
 };
 
-/** An order that the host does not take. */
+/** Thrown for an order whose fence or epoch is out of date. */
 export class OrderRefused extends Error {
   readonly reason = 'refused';
 }
 
+/** Above this number of streams, finished ones are removed, oldest first. */
 const FINISHED_STREAMS_KEPT = 500;
 
-/** One engine host. */
+/** Follows orders, loads weights and generates the streams of one host. */
 export class EngineHost {
   readonly options: EngineHostOptions;
   readonly cache: PrefixCache;
   readonly #streams = new Map<string, EngineStream>();
-  readonly #loads: { at: number; running: number; queued: number }[] = [];
+  readonly #loadHistory: { at: number; running: number; queued: number }[] = [];
   #queue: EngineStream[] = [];
   #running: EngineStream[] = [];
   #incarnation = randomUUID();
@@ -47,7 +53,7 @@
   #epoch = 0;
   #fence = 0;
   #timer: NodeJS.Timeout | undefined;
-  /** Factor by which generation is slowed down. */
+  /** Factor by which generation is slowed down: one step of every `slowness` runs. */
   slowness = 1;
 
   constructor(options: EngineHostOptions) {
@@ -59,7 +65,7 @@
     });
   }
 
-  /** Group and epoch that the host belongs to. */
+  /** Group of the latest load order, its members, and the epoch of the host; no group before the first load. */
   get membership(): {
     group: string | null;
     epoch: number;
@@ -69,12 +75,12 @@
     return { group: this.#load?.group ?? null, epoch: this.#epoch, members };
   }
 
-  /** True when the host is the loaded leader of its group. */
+  /** True if the host is the head of its group and has loaded the weights. */
   get leading(): boolean {
     return this.#loaded && this.#load?.members[0] === this.options.id;
   }
 
-  /** Answer of the state route. */
+  /** State that the host reports on its state route. */
   state(): HostStateReport {
     return {
       host: this.options.id,
@@ -89,7 +95,7 @@
     };
   }
 
-  /** Takes an order, or throws `OrderRefused`. */
+  /** Carries out an order; throws `OrderRefused` if it is out of date. */
   order(order: HostOrder): void {
     this.#checkFence(order);
     this.#fence = Math.max(this.#fence, order.fence);
@@ -100,11 +106,11 @@
     }
   }
 
-  /** Load report as it was `loadLagMs` ago. */
+  /** Load as it was `loadLagMs` ago. */
   load(): EngineLoad {
     const cutoff = performance.now() - this.options.loadLagMs;
-    const old = this.#loads.filter(entry => entry.at <= cutoff);
-    const report = old[old.length - 1] ?? { at: cutoff, running: 0, queued: 0 };
+    const reportable = this.#loadHistory.filter(entry => entry.at <= cutoff);
+    const report = reportable[reportable.length - 1] ?? { at: cutoff, running: 0, queued: 0 };
     return {
       running: report.running,
       queued: report.queued,
@@ -112,12 +118,12 @@
     };
   }
 
-  /** The stream of a request, while it is remembered. */
+  /** The stream of a request; undefined if it is unknown, cancelled, lost or removed after its end. */
   stream(requestId: string): EngineStream | undefined {
     return this.#streams.get(requestId);
   }
 
-  /** Starts a generation. */
+  /** Queues the generation of a request by its priority and starts it if a slot is free. */
   generate(spec: StreamSpec): EngineStream {
     const { group, epoch, members } = this.membership;
     const record: RunRecord = {
@@ -135,11 +141,11 @@
     this.#streams.set(spec.requestId, stream);
     this.#queue.push(stream);
     this.#queue.sort((a, b) => b.spec.priority - a.spec.priority);
-    this.#admit();
+    this.#fillSlots();
     return stream;
   }
 
-  /** Cancels a generation. */
+  /** Cancels the generation of a request and removes its stream. */
   cancel(requestId: string): void {
     const stream = this.#streams.get(requestId);
     this.#streams.delete(requestId);
@@ -150,7 +156,7 @@
     }
   }
 
-  /** Forgets all streams, as after a fault inside the engine. */
+  /** Drops all streams, as a fault inside the engine would. */
   forgetStreams(): void {
     for (const stream of this.#streams.values()) {
       stream.abandon('lost');
@@ -160,7 +166,7 @@
     this.#running = [];
   }
 
-  /** Loses everything, as the death of the host does. */
+  /** Discards group, epoch, fence, streams and cache, as the death of the host does, and begins a new incarnation. */
   lose(): void {
     this.forgetStreams();
     clearInterval(this.#timer);
@@ -177,9 +183,9 @@
     if (!this.options.checksFence) {
       return;
     }
-    const old = order.fence < this.#fence;
-    const voidEpoch = order.epoch < this.#epoch;
-    if (old || voidEpoch) {
+    const isFenceStale = order.fence < this.#fence;
+    const isEpochStale = order.epoch < this.#epoch;
+    if (isFenceStale || isEpochStale) {
       throw new OrderRefused(
         `order with fence ${order.fence}, epoch ${order.epoch} after ${this.#fence}, ${this.#epoch}`,
       );
@@ -197,16 +203,18 @@
     this.#epoch = Math.max(this.#epoch, epoch);
   }
 
-  // A surviving member of a repaired group keeps its weights and only joins the new epoch.
+  // A member that survives the repair of its group keeps its weights and only enters the new epoch.
   #startLoad(order: LoadOrder): void {
-    const kept =
+    const keepsWeights =
       this.#loaded && this.#load?.model === order.model && this.#load.version === order.version;
     this.forgetStreams();
     this.#load = order;
     this.#epoch = order.epoch;
     this.#loaded = false;
-    const reading = kept ? Promise.resolve() : this.options.readWeights(order.gigabytes);
-    reading.then(
+    const weightsRead = keepsWeights
+      ? Promise.resolve()
+      : this.options.readWeights(order.gigabytes);
+    weightsRead.then(
       () => {
         if (this.#load === order) {
           this.#loaded = true;
@@ -221,7 +229,7 @@
     );
   }
 
-  // Only the leader generates.
+  // Only the head of the group generates.
   #startSteps(): void {
     if (this.leading) {
       this.#timer ??= setInterval(() => {
@@ -230,7 +238,8 @@
     }
   }
 
-  #admit(): void {
+  // Moves queued streams into the free slots of the batch.
+  #fillSlots(): void {
     const slots = this.#load?.slots ?? 0;
     while (this.#running.length < slots && this.#queue.length > 0) {
       const next = this.#queue.shift();
@@ -238,40 +247,41 @@
         this.#running.push(next);
       }
     }
-    this.#noteLoad();
+    this.#recordLoad();
   }
 
-  #steps = 0;
+  #stepCount = 0;
 
   #step(): void {
-    this.#steps += 1;
-    if (this.#steps % this.slowness !== 0) {
+    this.#stepCount += 1;
+    if (this.#stepCount % this.slowness !== 0) {
       return;
     }
     for (const stream of this.#running) {
       stream.step();
     }
-    const before = this.#running.length;
+    const runningBefore = this.#running.length;
     this.#running = this.#running.filter(stream => !stream.done);
-    if (this.#running.length !== before) {
-      this.#admit();
+    if (this.#running.length !== runningBefore) {
+      this.#fillSlots();
     }
-    this.#dropFinished();
+    this.#removeFinishedStreams();
   }
 
-  #noteLoad(): void {
+  // Adds the present load to the history, which keeps what a report of age `loadLagMs` needs.
+  #recordLoad(): void {
     const at = performance.now();
-    this.#loads.push({
+    this.#loadHistory.push({
       at,
       running: this.#running.length,
       queued: this.#queue.length,
     });
-    while (this.#loads.length > 2 && this.#loads[1].at < at - this.options.loadLagMs) {
-      this.#loads.shift();
+    while (this.#loadHistory.length > 2 && this.#loadHistory[1].at < at - this.options.loadLagMs) {
+      this.#loadHistory.shift();
     }
   }
 
-  #dropFinished(): void {
+  #removeFinishedStreams(): void {
     if (this.#streams.size <= FINISHED_STREAMS_KEPT) {
       return;
     }
--- a/packages/stand-ins/src/engine/engine-stream.ts
+++ b/packages/stand-ins/src/engine/engine-stream.ts
@@ -1,28 +1,31 @@
-/** One generation on the engine stand-in; readers may attach at any offset. */
+/** One generation of the engine stand-in; a reader may attach at any token offset. */
 import type { CompletionShape } from '@hingescale/core';
 import { END_MARKER, formatEvent } from '@hingescale/core';
 
 import type { RunRecord } from './run-record.js';
 
-/** What a stream generates. */
+/** The request that a stream answers and the length of its generation. */
 export type StreamSpec = {
   readonly requestId: string;
   readonly shape: CompletionShape;
   readonly model: string;
+  /** Number of tokens to generate. */
   readonly tokens: number;
+  /** Fingerprint of the prompt, which each token carries. */
   readonly fingerprint: string;
+  /** Streams of higher priority leave the queue first. */
   readonly priority: number;
   /** Generation steps that the prompt takes before the first token. */
   readonly prefillSteps: number;
 };
 
-/** A reader of a stream. */
+/** Receives the events of a stream and its end. */
 export type StreamReader = {
   readonly write: (event: string) => void;
   readonly end: () => void;
 };
 
-/** Tokens that a stream generates and the readers that follow it. */
+/** Generates tokens step by step and sends them to the attached readers. */
 export class EngineStream {
   readonly spec: StreamSpec;
   readonly record: RunRecord;
@@ -36,23 +39,23 @@
     this.#prefillLeft = spec.prefillSteps;
   }
 
-  /** True when all tokens were generated. */
+  /** True once all tokens have been generated. */
   get done(): boolean {
     return this.#produced >= this.spec.tokens;
   }
 
-  /** Attaches a reader that has received `offset` tokens. */
+  /** Attaches a reader that already has the first `offset` tokens, and sends it the later ones generated so far. */
   attach(reader: StreamReader, offset: number): void {
     this.#readers.set(reader, offset);
-    this.#serve(reader);
+    this.#sendPending(reader);
   }
 
-  /** Removes a reader. */
+  /** Detaches a reader; the generation continues. */
   detach(reader: StreamReader): void {
     this.#readers.delete(reader);
   }
 
-  /** Runs one generation step. */
+  /** Runs one step: part of the prefill, or else one token. */
   step(): void {
     if (this.#prefillLeft > 0) {
       this.#prefillLeft -= 1;
@@ -64,11 +67,11 @@
       this.record.outcome = 'done';
     }
     for (const reader of [...this.#readers.keys()]) {
-      this.#serve(reader);
+      this.#sendPending(reader);
     }
   }
 
-  /** Ends the generation without its end marker. */
+  /** Stops serving the readers, without the end marker, and records the outcome unless all tokens were generated. */
   abandon(outcome: 'cancelled' | 'lost'): void {
     if (!this.done) {
       this.record.outcome = outcome;
@@ -76,10 +79,10 @@
     this.#readers.clear();
   }
 
-  #serve(reader: StreamReader): void {
+  #sendPending(reader: StreamReader): void {
     let offset = this.#readers.get(reader) ?? 0;
     while (offset < this.#produced) {
-      reader.write(this.#event(offset));
+      reader.write(this.#tokenEvent(offset));
       offset += 1;
     }
     this.#readers.set(reader, offset);
@@ -90,17 +93,17 @@
     }
   }
 
-  #event(offset: number): string {
+  #tokenEvent(offset: number): string {
     const { requestId, shape, model, tokens, fingerprint } = this.spec;
     const text = `${fingerprint}:${offset} `;
-    const chat = shape === 'chat';
-    const content = chat ? { delta: { content: text } } : { text };
-    const finish = offset + 1 === tokens ? 'stop' : null;
+    const isChat = shape === 'chat';
+    const content = isChat ? { delta: { content: text } } : { text };
+    const finishReason = offset + 1 === tokens ? 'stop' : null;
     const chunk = {
       id: requestId,
-      object: chat ? 'chat.completion.chunk' : 'text_completion',
+      object: isChat ? 'chat.completion.chunk' : 'text_completion',
       model,
-      choices: [{ index: 0, ...content, finish_reason: finish }],
+      choices: [{ index: 0, ...content, finish_reason: finishReason }],
     };
     return formatEvent(JSON.stringify(chunk), String(offset));
   }
--- a/packages/stand-ins/src/engine/host-app.ts
+++ b/packages/stand-ins/src/engine/host-app.ts
@@ -1,4 +1,4 @@
-/** HTTP routes of one engine host. */
+/** HTTP routes of one simulated engine host. */
 import { createHash } from 'node:crypto';
 
 import type { CompletionShape, HostOrder } from '@hingescale/core';
@@ -23,24 +23,25 @@
 import { hit } from './host-faults.js';
 
 const BODY_LIMIT = '4mb';
+/** Length of a prompt fingerprint, in hexadecimal digits. */
 const FINGERPRINT_LENGTH = 8;
-/** Generation steps that one block of prompt takes when it is not in the cache. */
+/** Generation steps that the prefill of one uncached prompt block takes. */
 const STEPS_PER_BLOCK = 0.5;
 
-/** Fingerprint of a prompt that the engine puts into each token, so that a mix-up shows. */
+/** Fingerprint of a prompt. The engine puts it into each token, so that an answer to another prompt is detected. */
 export function fingerprintOf(prompt: string): string {
   return createHash('sha256').update(prompt).digest('hex').slice(0, FINGERPRINT_LENGTH);
 }
 
-/** Builds the routes of a host. */
+/** Builds the routes of a host; `untilUnfrozen` resolves when the fault `frozen` is switched off. */
 export function hostApp(
   host: EngineHost,
   faults: HostFaults,
-  thawed: () => Promise<void>,
+  untilUnfrozen: () => Promise<void>,
 ): Express {
   const routes = new HostRoutes(host, faults);
   const app = createApp();
-  app.use(freeze(faults, thawed));
+  app.use(holdWhileFrozen(faults, untilUnfrozen));
   app.use(express.json({ limit: BODY_LIMIT }));
   app.get('/v1/state', (_request, response) => {
     response.json(host.state());
@@ -62,10 +63,10 @@
   return app;
 }
 
-function freeze(faults: HostFaults, thawed: () => Promise<void>): RequestHandler {
+function holdWhileFrozen(faults: HostFaults, untilUnfrozen: () => Promise<void>): RequestHandler {
   return (_request, _response, next) => {
     if (faults.frozen) {
-      void thawed().then(() => {
+      void untilUnfrozen().then(() => {
         next();
       });
     } else {
@@ -74,6 +75,7 @@
   };
 }
 
+// Handlers of the routes that follow orders, generate and resume.
 class HostRoutes {
   readonly #host: EngineHost;
   readonly #faults: HostFaults;
@@ -99,7 +101,7 @@
         request.socket.destroy();
         return;
       }
-      const refusal = this.#refusal(request);
+      const refusal = this.#refusalReason(request);
       if (refusal !== undefined) {
         response.setHeader(EXECUTION_HEADER, 'not-run');
         response.status(409).json({ detail: refusal });
@@ -113,7 +115,7 @@
       }
       const prompt = parsed.request.prompt;
       const cached = this.#host.cache.use(String(request.headers[CACHE_SALT_HEADER] ?? ''), prompt);
-      const blocks = (prompt.length - cached) / PREFIX_BLOCK_CHARACTERS;
+      const uncachedBlocks = (prompt.length - cached) / PREFIX_BLOCK_CHARACTERS;
       const stream = this.#host.generate({
         requestId: String(request.headers[REQUEST_ID_HEADER]),
         shape,
@@ -121,13 +123,13 @@
         tokens: parsed.request.maxTokens,
         fingerprint: fingerprintOf(prompt),
         priority: Number(request.headers[PRIORITY_HEADER] ?? 0),
-        prefillSteps: Math.floor(blocks * STEPS_PER_BLOCK),
+        prefillSteps: Math.floor(uncachedBlocks * STEPS_PER_BLOCK),
       });
       if (hit(this.#faults, 'loseAnswers')) {
         request.socket.destroy();
         return;
       }
-      this.#serve(stream, 0, response);
+      this.#sendStream(stream, 0, response);
     };
   }
 
@@ -137,11 +139,11 @@
       response.status(404).json({ detail: 'no such stream' });
       return;
     }
-    this.#serve(stream, Number(request.query.offset ?? 0), response);
+    this.#sendStream(stream, Number(request.query.offset ?? 0), response);
   };
 
-  // An engine that does not check fences takes any request.
-  #refusal(request: Request): string | undefined {
+  // Returns the reason to refuse a request. An engine that does not check fences accepts any group and epoch.
+  #refusalReason(request: Request): string | undefined {
     if (hit(this.#faults, 'refuse')) {
       return 'refused on demand';
     }
@@ -150,38 +152,40 @@
     }
     const { group, epoch } = this.#host.membership;
     const { headers } = request;
-    const same = headers[GROUP_HEADER] === group && headers[EPOCH_HEADER] === String(epoch);
-    if (this.#host.options.checksFence && !same) {
+    const matchesMembership =
+      headers[GROUP_HEADER] === group && headers[EPOCH_HEADER] === String(epoch);
+    if (this.#host.options.checksFence && !matchesMembership) {
       return `group ${group ?? 'none'} is at epoch ${epoch}`;
     }
     return undefined;
   }
 
-  #serve(stream: EngineStream, offset: number, response: Response): void {
+  #sendStream(stream: EngineStream, offset: number, response: Response): void {
     const { epoch, group } = this.#host.membership;
-    const crossed = hit(this.#faults, 'crossAnswers');
-    const wrongEpoch = hit(this.#faults, 'wrongEpochs');
+    const namesOtherRequest = hit(this.#faults, 'crossAnswers');
+    const carriesWrongEpoch = hit(this.#faults, 'wrongEpochs');
     const { requestId } = stream.spec;
-    response.setHeader(REQUEST_ID_HEADER, crossed ? `${requestId}-other` : requestId);
-    response.setHeader(EPOCH_HEADER, String(wrongEpoch ? epoch - 1 : epoch));
+    response.setHeader(REQUEST_ID_HEADER, namesOtherRequest ? `${requestId}-other` : requestId);
+    response.setHeader(EPOCH_HEADER, String(carriesWrongEpoch ? epoch - 1 : epoch));
     response.setHeader(GROUP_HEADER, group ?? '');
     response.setHeader('Content-Type', 'text/event-stream');
     response.flushHeaders();
-    const reader = this.#reader(stream, response);
+    const reader = this.#createReader(stream, response);
     response.on('close', () => {
       stream.detach(reader);
     });
     stream.attach(reader, offset);
   }
 
-  #reader(stream: EngineStream, response: Response): StreamReader {
-    const cut = hit(this.#faults, 'cutStreams');
-    const truncate = !cut && hit(this.#faults, 'truncateStreams');
-    let left = cut || truncate ? this.#faults.cutAfterTokens : Infinity;
+  // Creates a reader that writes to the response and cuts or truncates it if such a fault is on.
+  #createReader(stream: EngineStream, response: Response): StreamReader {
+    const cuts = hit(this.#faults, 'cutStreams');
+    const truncates = !cuts && hit(this.#faults, 'truncateStreams');
+    let tokensLeft = cuts || truncates ? this.#faults.cutAfterTokens : Infinity;
     const reader: StreamReader = {
       write: event => {
-        if (left > 0) {
-          left -= 1;
+        if (tokensLeft > 0) {
+          tokensLeft -= 1;
           response.write(event);
           return;
         }
@@ -189,7 +193,7 @@
         if (this.#faults.forgetCutStreams) {
           this.#host.cancel(stream.spec.requestId);
         }
-        if (truncate) {
+        if (truncates) {
           response.end();
         } else {
           response.destroy();
--- a/packages/stand-ins/src/engine/host-faults.ts
+++ b/packages/stand-ins/src/engine/host-faults.ts
@@ -1,32 +1,32 @@
-/** Faults that an engine host shows; all off by default. */
+/** Faults that can be injected into a simulated engine host; all are off by default. */
 
-/** Faults of one host, switched by its control route. */
+/** Faults of one host, set through its control route. Counters give how many of the next events are affected. */
 export type HostFaults = {
-  /** Requests and probes are taken and not answered until this is switched off. */
+  /** Requests and probes are accepted, but not answered until this is switched off. */
   frozen: boolean;
-  /** Generation takes so many times longer. */
+  /** Factor by which generation takes longer. */
   slowness: number;
-  /** The next generations run, and the connection is cut before the answer's headers. */
+  /** Counter: generations that run, but whose connection is cut before the headers of the answer. */
   loseAnswers: number;
-  /** The next generations are cut after so many tokens; the stream goes on in the engine. */
+  /** Number of tokens after which `cutStreams` and `truncateStreams` end an answer. */
   cutAfterTokens: number;
-  /** How many generations are cut in that way. */
+  /** Counter: answers whose connection is cut after `cutAfterTokens`; the generation continues in the engine. */
   cutStreams: number;
-  /** A cut stream is forgotten as well, so that it can not be resumed. */
+  /** True if a cut or truncated stream is also cancelled, so that it cannot be resumed. */
   forgetCutStreams: boolean;
-  /** The next answers name another request. */
+  /** Counter: answers that name another request. */
   crossAnswers: number;
-  /** The next answers carry another epoch. */
+  /** Counter: answers that carry another epoch. */
   wrongEpochs: number;
-  /** The next streams end without their end marker. */
+  /** Counter: answers that end after `cutAfterTokens` without the end marker. */
   truncateStreams: number;
-  /** The next requests are refused before they run. */
+  /** Counter: requests that are refused before they run. */
   refuse: number;
-  /** The next connections are cut as soon as a request arrives, before it runs. */
+  /** Counter: requests whose connection is cut on arrival, before they run. */
   cutBeforeRun: number;
 };
 
-/** A host without faults. */
+/** Returns the settings with all faults off. */
 export function noFaults(): HostFaults {
   return {
     frozen: false,
@@ -43,7 +43,7 @@
   };
 }
 
-/** Counters among the faults: each hit uses one up. */
+/** Faults that are counters: each injected fault lowers the counter by one. */
 export type FaultCounter =
   | 'loseAnswers'
   | 'cutStreams'
@@ -53,7 +53,7 @@
   | 'refuse'
   | 'cutBeforeRun';
 
-/** Uses up one hit of a counter; true when there was one. */
+/** Lowers a counter by one and returns true if the fault is to be injected; returns false if the counter is 0. */
 export function hit(faults: HostFaults, counter: FaultCounter): boolean {
   if (faults[counter] <= 0) {
     return false;
--- a/packages/stand-ins/src/engine/prefix-cache.ts
+++ b/packages/stand-ins/src/engine/prefix-cache.ts
@@ -1,79 +1,81 @@
-/** Prefix cache of the engine stand-in: bounded, salted per workspace, with late and gappy events. */
+/** Prefix cache of the engine stand-in: bounded and salted per workspace; its events are late and some are missing. */
 import type { CacheEvent, CacheEvents } from '@hingescale/core';
 import { prefixHashes } from '@hingescale/core';
 
-/** Options of a prefix cache. */
+/** Size of a prefix cache and the faults of its events. */
 export type PrefixCacheOptions = {
+  /** Number of prefixes that the cache holds. */
   readonly capacity: number;
-  /** Events become visible after this time. */
+  /** Time until an event becomes visible, in milliseconds. */
   readonly eventLagMs: number;
-  /** Every so many events one is dropped; 0 drops none. */
+  /** Every n-th event is dropped; 0 drops none. */
   readonly dropEvery: number;
 };
 
 type TimedEvent = CacheEvent & { readonly visibleAt: number };
 
-const KEPT_EVENTS = 2_000;
+/** Above this number of events, the older half is dropped. */
+const MAX_KEPT_EVENTS = 2_000;
 
-/** Remembers prompt prefixes, oldest out first. */
+/** Holds the hashes of prompt prefixes and evicts the least recently used. */
 export class PrefixCache {
   readonly #options: PrefixCacheOptions;
-  readonly #stored = new Map<string, true>();
+  readonly #storedHashes = new Map<string, true>();
   #events: TimedEvent[] = [];
-  #next = 1;
+  #nextNumber = 1;
 
   constructor(options: PrefixCacheOptions) {
     this.#options = options;
   }
 
-  /** Characters at the start of the prompt that are cached; stores the prompt's prefixes. */
+  /** Returns how many characters at the start of the prompt are cached, then stores all prefixes of the prompt. */
   use(salt: string, prompt: string): number {
     let cached = 0;
     for (const prefix of prefixHashes(salt, prompt)) {
-      if (this.#stored.delete(prefix.hash)) {
+      if (this.#storedHashes.delete(prefix.hash)) {
         cached = prefix.characters;
       } else {
         this.#emit('stored', prefix.hash);
       }
-      this.#stored.set(prefix.hash, true);
+      this.#storedHashes.set(prefix.hash, true);
     }
     this.#evict();
     return cached;
   }
 
-  /** Events from a number on that are visible by now. */
+  /** Returns the visible events with this number or a higher one, and the number to continue from. */
   eventsFrom(number: number): CacheEvents {
     const now = performance.now();
     const events = this.#events.filter(event => event.number >= number && event.visibleAt <= now);
-    const last = events[events.length - 1];
-    const next = last === undefined ? number : last.number + 1;
+    const lastEvent = events[events.length - 1];
+    const next = lastEvent === undefined ? number : lastEvent.number + 1;
     return {
       next,
-      events: events.map(({ number: n, kind, prefix }) => ({
-        number: n,
+      events: events.map(({ number: eventNumber, kind, prefix }) => ({
+        number: eventNumber,
         kind,
         prefix,
       })),
     };
   }
 
-  /** Forgets everything, as a reset does. */
+  /** Removes all prefixes without events, as a reset of the host does. */
   clear(): void {
-    this.#stored.clear();
+    this.#storedHashes.clear();
   }
 
   #evict(): void {
-    for (const hash of this.#stored.keys()) {
-      if (this.#stored.size <= this.#options.capacity) {
+    for (const hash of this.#storedHashes.keys()) {
+      if (this.#storedHashes.size <= this.#options.capacity) {
         return;
       }
-      this.#stored.delete(hash);
+      this.#storedHashes.delete(hash);
       this.#emit('evicted', hash);
     }
   }
 
   #emit(kind: CacheEvent['kind'], prefix: string): void {
-    const number = this.#next++;
+    const number = this.#nextNumber++;
     const { dropEvery, eventLagMs } = this.#options;
     if (dropEvery > 0 && number % dropEvery === 0) {
       return;
@@ -84,8 +86,8 @@
       prefix,
       visibleAt: performance.now() + eventLagMs,
     });
-    if (this.#events.length > KEPT_EVENTS) {
-      this.#events = this.#events.slice(KEPT_EVENTS / 2);
+    if (this.#events.length > MAX_KEPT_EVENTS) {
+      this.#events = this.#events.slice(MAX_KEPT_EVENTS / 2);
     }
   }
 }
--- a/packages/stand-ins/src/engine/run-record.ts
+++ b/packages/stand-ins/src/engine/run-record.ts
@@ -1,15 +1,16 @@
-/** What the engine stand-in remembers of each request it ran, for the proofs. */
+/** Record that the engine stand-in keeps of each request it ran; the proofs check it. */
 
-/** One request that an engine host started. */
+/** One request whose generation an engine host started, with its progress and outcome. */
 export type RunRecord = {
   readonly requestId: string;
   readonly host: string;
   readonly group: string;
   readonly epoch: number;
-  /** Fingerprint of the prompt, as it stands in the tokens. */
+  /** Fingerprint of the prompt, as carried by the tokens. */
   readonly fingerprint: string;
-  /** Milliseconds since a member of the group went missing when the request was taken; 0 for none. */
+  /** How long a member of the group had been missing when the request was accepted, in milliseconds; 0 if none was. */
   readonly missingForMs: number;
+  /** Number of tokens generated so far. */
   tokens: number;
   outcome: 'running' | 'done' | 'cancelled' | 'lost';
 };
--- a/packages/stand-ins/src/index.ts
+++ b/packages/stand-ins/src/index.ts
@@ -1,4 +1,4 @@
-/** Small stand-ins of the outside systems, for tests, benchmarks and the quickstart. */
+/** Small stand-ins for the external systems, used by tests, benchmarks and the quickstart. */
 export * from './engine/app.js';
 export * from './engine/host-app.js';
 export * from './engine/host-faults.js';
--- a/packages/stand-ins/src/platform/app.ts
+++ b/packages/stand-ins/src/platform/app.ts
@@ -1,4 +1,4 @@
-/** Stand-in of the platform: object API, host list, weight store, and faults to inject. */
+/** Stand-in for the platform: object API, host list, weight store and injectable faults. */
 import type { Host } from '@hingescale/core';
 import type { HttpServer } from '@hingescale/runtime';
 import { createApp, listenHttp, sleep } from '@hingescale/runtime';
@@ -9,23 +9,23 @@
 import { ObjectStore } from './object-store.js';
 import { WeightStore } from './weight-store.js';
 
-/** Faults that the platform shows; all off by default. */
+/** Faults that can be injected into the platform; all are off by default. */
 export type PlatformFaults = {
-  /** Connections are cut without an answer and nothing takes effect. */
+  /** Connections to the object API and the host list are cut without an answer, and writes have no effect. */
   outage: boolean;
-  /** Every answer waits this long. */
+  /** Delay of each request to the object API and the host list, in milliseconds. */
   delayMs: number;
-  /** So many of the next writes take effect and lose their answer. */
+  /** Number of next writes that take effect, but whose answer is lost. */
   loseWriteAnswers: number;
-  /** Only writes of this kind lose their answer; empty for all. */
+  /** Object kind whose writes lose their answer; empty for all kinds. */
   loseKind: string;
-  /** Reads and watches show the store as it was when this was switched on. */
+  /** Reads answer with the store as it was when this was switched on; watches report no changes. */
   staleReads: boolean;
-  /** Time by which the host list lags behind. */
+  /** Delay of a change of the host list, in milliseconds. */
   hostListLagMs: number;
 };
 
-/** Calls the platform has counted. */
+/** Number of calls that ran, by route (a host list call is a watch), and of those rejected for the rate limit. */
 export type PlatformCalls = {
   reads: number;
   writes: number;
@@ -33,8 +33,9 @@
   limited: number;
 };
 
-/** Options of the platform stand-in. */
+/** Address, rate limits and initial host list of the platform stand-in. */
 export type PlatformOptions = {
+  /** `ip:port` on which the platform listens. */
   readonly listen: string;
   readonly writesPerSecond: number;
   readonly readsPerSecond: number;
@@ -42,19 +43,22 @@
   readonly hosts: readonly Host[];
 };
 
-/** A running platform stand-in. */
+/** A running platform stand-in, with access to its store, faults and call counts. */
 export type PlatformStandIn = HttpServer & {
   readonly store: ObjectStore;
   readonly faults: PlatformFaults;
   readonly calls: PlatformCalls;
+  /** Replaces the host list after `hostListLagMs`. */
   readonly setHosts: (hosts: readonly Host[]) => void;
 };
 
 const BODY_LIMIT = '1mb';
 const ERA_HEADER = 'store-era';
-const HTTP_TOO_MANY = 429;
+const HTTP_TOO_MANY_REQUESTS = 429;
+/** Object kinds that are copied when stale reads are switched on. */
+const STALE_READ_KINDS = ['configuration', 'configuration-part', 'ledger', 'lease'];
 
-/** Starts the platform stand-in. */
+/** Starts the HTTP server of the platform stand-in. */
 export async function startPlatform(options: PlatformOptions): Promise<PlatformStandIn> {
   const platform = new Platform(options);
   const http = await listenHttp(platform.app(), options.listen);
@@ -69,6 +73,7 @@
   };
 }
 
+// Routes and state of the platform.
 class Platform {
   readonly store = new ObjectStore();
   readonly faults: PlatformFaults = {
@@ -87,12 +92,14 @@
   };
   readonly #options: PlatformOptions;
   readonly #weights: WeightStore;
-  #frozenAt: number | undefined;
-  #frozenObjects = new Map<string, unknown>();
+  // Version of the store when stale reads were switched on; undefined while they are off.
+  #staleVersion: number | undefined;
+  // Objects that stale reads answer with, by `kind/name`.
+  #staleObjects = new Map<string, unknown>();
   #hosts: readonly Host[];
   #hostsVersion: number;
-  #secondStart = 0;
-  #inSecond = { read: 0, write: 0 };
+  #currentSecond = 0;
+  #callsInSecond = { read: 0, write: 0 };
 
   constructor(options: PlatformOptions) {
     this.#options = options;
@@ -111,10 +118,10 @@
   app(): express.Express {
     const app = createApp();
     app.use(express.json({ limit: BODY_LIMIT, strict: false }));
-    app.get('/v1/objects/:kind/:name', this.#guard('read'), this.#read);
-    app.put('/v1/objects/:kind/:name', this.#guard('write'), this.#write);
-    app.get('/v1/watch/:kind', this.#guard('read'), this.#watch);
-    app.get('/v1/hosts', this.#guard('read'), this.#listHosts);
+    app.get('/v1/objects/:kind/:name', this.#applyFaultsAndLimit('read'), this.#read);
+    app.put('/v1/objects/:kind/:name', this.#applyFaultsAndLimit('write'), this.#write);
+    app.get('/v1/watch/:kind', this.#applyFaultsAndLimit('read'), this.#watch);
+    app.get('/v1/hosts', this.#applyFaultsAndLimit('read'), this.#listHosts);
     app.post('/v1/weights/read', this.#readWeights);
     app.put('/control/faults', this.#setFaults);
     app.put('/control/hosts', (request, response) => {
@@ -127,15 +134,16 @@
     return app;
   }
 
-  #guard(kind: 'read' | 'write'): RequestHandler {
+  // Applies outage, rate limit and delay before a route runs.
+  #applyFaultsAndLimit(kind: 'read' | 'write'): RequestHandler {
     return (request, response, next) => {
       if (this.faults.outage) {
         request.socket.destroy();
         return;
       }
-      if (this.#overLimit(kind)) {
+      if (this.#exceedsRateLimit(kind)) {
         this.calls.limited += 1;
-        response.status(HTTP_TOO_MANY).end();
+        response.status(HTTP_TOO_MANY_REQUESTS).end();
         return;
       }
       response.setHeader(ERA_HEADER, this.store.era);
@@ -143,23 +151,23 @@
     };
   }
 
-  #overLimit(kind: 'read' | 'write'): boolean {
+  #exceedsRateLimit(kind: 'read' | 'write'): boolean {
     const second = Math.floor(performance.now() / 1000);
-    if (second !== this.#secondStart) {
-      this.#secondStart = second;
-      this.#inSecond = { read: 0, write: 0 };
+    if (second !== this.#currentSecond) {
+      this.#currentSecond = second;
+      this.#callsInSecond = { read: 0, write: 0 };
     }
-    this.#inSecond[kind] += 1;
+    this.#callsInSecond[kind] += 1;
     const { readsPerSecond, writesPerSecond } = this.#options;
-    return this.#inSecond[kind] > (kind === 'read' ? readsPerSecond : writesPerSecond);
+    return this.#callsInSecond[kind] > (kind === 'read' ? readsPerSecond : writesPerSecond);
   }
 
   readonly #read = (request: Request, response: Response): void => {
     this.calls.reads += 1;
     const kind = String(request.params.kind);
     const name = String(request.params.name);
-    const stale = this.#frozenObjects.get(`${kind}/${name}`);
-    const stored = this.faults.staleReads ? stale : this.store.read(kind, name);
+    const staleObject = this.#staleObjects.get(`${kind}/${name}`);
+    const stored = this.faults.staleReads ? staleObject : this.store.read(kind, name);
     if (stored === undefined) {
       response.status(404).end();
     } else {
@@ -171,18 +179,19 @@
     this.calls.writes += 1;
     const kind = String(request.params.kind);
     const name = String(request.params.name);
-    if (this.#frozenAt !== undefined && !this.#frozenObjects.has(`${kind}/${name}`)) {
-      this.#frozenObjects.set(`${kind}/${name}`, this.store.read(kind, name));
+    if (this.#staleVersion !== undefined && !this.#staleObjects.has(`${kind}/${name}`)) {
+      this.#staleObjects.set(`${kind}/${name}`, this.store.read(kind, name));
     }
     const outcome = this.store.write(kind, name, request.body, conditionOf(request));
-    if (outcome.ok && this.#losesAnswer(kind)) {
+    if (outcome.ok && this.#consumeLostAnswer(kind)) {
       request.socket.destroy();
       return;
     }
     response.status(outcome.ok ? 200 : 412).json(outcome.stored ?? {});
   };
 
-  #losesAnswer(kind: string): boolean {
+  // Returns true if the answer to this write is to be lost, and counts it.
+  #consumeLostAnswer(kind: string): boolean {
     const { loseWriteAnswers, loseKind } = this.faults;
     if (loseWriteAnswers <= 0 || (loseKind !== '' && loseKind !== kind)) {
       return false;
@@ -195,28 +204,28 @@
     this.calls.watches += 1;
     const kind = String(request.params.kind);
     const after = Number(request.query.after ?? 0);
-    const until = performance.now() + Number(request.query.wait ?? 0);
+    const deadline = performance.now() + Number(request.query.wait ?? 0);
     for (;;) {
       const objects = this.faults.staleReads ? [] : this.store.changedAfter(kind, after);
-      const left = until - performance.now();
-      const isCut = response.getHeader(ERA_HEADER) !== this.store.era;
-      if (objects.length > 0 || left <= 0 || isCut) {
+      const leftMs = deadline - performance.now();
+      const eraChanged = response.getHeader(ERA_HEADER) !== this.store.era;
+      if (objects.length > 0 || leftMs <= 0 || eraChanged) {
         this.#answerWatch(request, response, {
           version: this.store.version,
           objects,
         });
         return;
       }
-      await this.store.waitForChange(left);
+      await this.store.waitForChange(leftMs);
     }
   };
 
   readonly #listHosts = async (request: Request, response: Response): Promise<void> => {
     this.calls.watches += 1;
     const after = Number(request.query.after ?? 0);
-    const until = performance.now() + Number(request.query.wait ?? 0);
-    while (this.#hostsVersion <= after && performance.now() < until) {
-      await this.store.waitForChange(until - performance.now());
+    const deadline = performance.now() + Number(request.query.wait ?? 0);
+    while (this.#hostsVersion <= after && performance.now() < deadline) {
+      await this.store.waitForChange(deadline - performance.now());
     }
     this.#answerWatch(request, response, {
       version: this.#hostsVersion,
@@ -224,10 +233,10 @@
     });
   };
 
-  // A watch that waits while an outage begins, or while the store comes back from a copy, gets no answer either.
+  // A watch that is waiting when an outage begins, or when the store is restored from a copy, gets no answer either.
   #answerWatch(request: Request, response: Response, body: object): void {
-    const isOfEarlierEra = response.getHeader(ERA_HEADER) !== this.store.era;
-    if (this.faults.outage || isOfEarlierEra) {
+    const eraChanged = response.getHeader(ERA_HEADER) !== this.store.era;
+    if (this.faults.outage || eraChanged) {
       request.socket.destroy();
     } else {
       response.json(body);
@@ -242,16 +251,17 @@
 
   readonly #setFaults = (request: Request, response: Response): void => {
     Object.assign(this.faults, request.body);
-    if (this.faults.staleReads && this.#frozenAt === undefined) {
-      this.#frozenAt = this.store.version;
-      this.#frozenObjects = new Map(
-        ['configuration', 'configuration-part', 'ledger', 'lease']
-          .flatMap(kind => this.store.changedAfter(kind, 0))
-          .map(object => [`${object.kind}/${object.name}`, object]),
+    if (this.faults.staleReads && this.#staleVersion === undefined) {
+      this.#staleVersion = this.store.version;
+      this.#staleObjects = new Map(
+        STALE_READ_KINDS.flatMap(kind => this.store.changedAfter(kind, 0)).map(object => [
+          `${object.kind}/${object.name}`,
+          object,
+        ]),
       );
     }
     if (!this.faults.staleReads) {
-      this.#frozenAt = undefined;
+      this.#staleVersion = undefined;
     }
     if (this.faults.outage) {
       this.store.touch();
--- a/packages/stand-ins/src/platform/weight-store.ts
+++ b/packages/stand-ins/src/platform/weight-store.ts
@@ -1,6 +1,6 @@
-/** The rate-limited weight store: reads share one rate and are served in order. */
+/** Rate-limited weight store: all reads share one rate and are served in order. */
 
-/** Hands out reading time at a fixed rate. */
+/** Delays each read as a store with a fixed throughput would; no data is read. */
 export class WeightStore {
   readonly #gigabytesPerSecond: number;
   #busyUntil = 0;
@@ -9,12 +9,12 @@
     this.#gigabytesPerSecond = gigabytesPerSecond;
   }
 
-  /** Resolves when that many gigabytes have been read. */
+  /** Resolves once all earlier reads and this one, of the given gigabytes, would have been transferred. */
   read(gigabytes: number): Promise<void> {
     const now = performance.now();
     const start = Math.max(now, this.#busyUntil);
     this.#busyUntil = start + (gigabytes / this.#gigabytesPerSecond) * 1000;
-    const ms = this.#busyUntil - now;
-    return new Promise(resolve => setTimeout(resolve, ms));
+    const waitMs = this.#busyUntil - now;
+    return new Promise(resolve => setTimeout(resolve, waitMs));
   }
 }
--- a/packages/stand-ins/src/service/app.ts
+++ b/packages/stand-ins/src/service/app.ts
@@ -1,20 +1,23 @@
-/** Stand-in of a plain service: a repeatable and a non-repeatable call, and faults to inject. */
+/** Stand-in for a plain service: runs any call, echoes its body and has injectable faults. */
 import { REQUEST_ID_HEADER } from '@hingescale/core';
 import type { HttpServer } from '@hingescale/runtime';
 import { createApp, listenHttp } from '@hingescale/runtime';
 import type { Request, Response } from 'express';
 import express from 'express';
 
-/** Faults of the service; counters are used up one by one. */
+const BODY_LIMIT = '1mb';
+
+/** Faults that can be injected into the service. Each counter gives how many of the next calls are affected. */
 export type ServiceFaults = {
-  /** The call runs and its connection is cut before the answer. */
+  /** Counter: calls that run, but whose connection is cut before the answer. */
   loseAnswers: number;
-  /** The answer is cut in the middle. */
+  /** Counter: answers that are cut in the middle. */
   truncate: number;
-  /** The connection is cut before the call runs. */
+  /** Counter: calls whose connection is cut before they run. */
   cutBeforeRun: number;
-  /** The answer names another request. */
+  /** Counter: answers that name another request. */
   crossAnswers: number;
+  /** Delay before each call runs, in milliseconds. */
   delayMs: number;
 };
 
@@ -26,7 +29,7 @@
   readonly body: string;
 };
 
-/** A running service stand-in. */
+/** A running service stand-in, with the calls that it ran and its faults. */
 export type ServiceStandIn = HttpServer & {
   readonly runs: readonly ServiceRun[];
   readonly faults: ServiceFaults;
@@ -50,30 +53,31 @@
     Object.assign(faults, request.body);
     response.json(faults);
   });
-  app.use(express.text({ type: '*/*', limit: '1mb' }));
+  app.use(express.text({ type: '*/*', limit: BODY_LIMIT }));
   app.use((request: Request, response: Response) => {
     setTimeout(() => {
-      answer(request, response, runs, faults);
+      answerCall(request, response, runs, faults);
     }, faults.delayMs);
   });
   const http = await listenHttp(app, listen);
   return { ...http, runs, faults };
 }
 
-function answer(
+// Runs a call and answers it, with the faults that are on.
+function answerCall(
   request: Request,
   response: Response,
   runs: ServiceRun[],
   faults: ServiceFaults,
 ): void {
-  if (take(faults, 'cutBeforeRun')) {
+  if (consumeFault(faults, 'cutBeforeRun')) {
     request.socket.destroy();
     return;
   }
   const requestId = String(request.headers[REQUEST_ID_HEADER] ?? '');
   const body = typeof request.body === 'string' ? request.body : '';
   runs.push({ requestId, method: request.method, path: request.path, body });
-  if (take(faults, 'loseAnswers')) {
+  if (consumeFault(faults, 'loseAnswers')) {
     request.socket.destroy();
     return;
   }
@@ -83,17 +87,21 @@
     echo: body,
     run: runs.length,
   });
-  response.setHeader(REQUEST_ID_HEADER, take(faults, 'crossAnswers') ? 'other' : requestId);
+  response.setHeader(REQUEST_ID_HEADER, consumeFault(faults, 'crossAnswers') ? 'other' : requestId);
   response.setHeader('Content-Type', 'application/json');
   response.setHeader('Content-Length', String(Buffer.byteLength(text)));
-  if (take(faults, 'truncate')) {
+  if (consumeFault(faults, 'truncate')) {
     response.write(text.slice(0, text.length / 2), () => request.socket.destroy());
     return;
   }
   response.end(text);
 }
 
-function take(faults: ServiceFaults, counter: Exclude<keyof ServiceFaults, 'delayMs'>): boolean {
+// Lowers a counter by one and returns true if the fault is to be injected.
+function consumeFault(
+  faults: ServiceFaults,
+  counter: Exclude<keyof ServiceFaults, 'delayMs'>,
+): boolean {
   if (faults[counter] <= 0) {
     return false;
   }
