--- a/packages/proofs/src/bin-mixed.ts
+++ b/packages/proofs/src/bin-mixed.ts
@@ -1,11 +1,14 @@
-/** `npm run test:mixed -- --seed N --minutes M`: mixed sessions for as long as asked. */
+/** `npm run test:mixed -- --seed N --minutes M`: runs mixed sessions for M minutes. */
 import yargs from 'yargs';
 import { hideBin } from 'yargs/helpers';
 
 import { runMixed } from './sessions/mixed-session.js';
 
+/** Upper limit of the commands in one session. */
 const COMMANDS = 25;
+/** Upper limit of the sessions; the time limit normally applies first. */
 const MAX_RUNS = 10_000;
+const MS_PER_MINUTE = 60_000;
 
 const options = await yargs(hideBin(process.argv))
   .option('seed', { type: 'number', default: 1 })
@@ -19,7 +22,7 @@
     seed: options.seed,
     runs: MAX_RUNS,
     commands: COMMANDS,
-    maxMs: options.minutes * 60_000,
+    maxMs: options.minutes * MS_PER_MINUTE,
   });
   console.log(`${report.deliveries} requests and ${report.keys} keys; no breach`);
   for (const [title, counts] of [
--- a/packages/proofs/src/bin-mutations.ts
+++ b/packages/proofs/src/bin-mutations.ts
@@ -1,21 +1,22 @@
 /**
- * Shows that each proof fails without its mechanism: takes one mechanism at a time out of the built
- * code, runs the proof, and puts the code back. Exits with 1 when a proof passes all the same.
+ * Checks that each proof fails without the mechanism that it tests: removes one mechanism at a time from
+ * the built code, runs the proof and restores the code. Exits with 1 when a proof still passes.
  */
 import { spawnSync } from 'node:child_process';
 import { readFileSync, writeFileSync } from 'node:fs';
 import { dirname, join } from 'node:path';
 import { fileURLToPath } from 'node:url';
 
-/** One mechanism and how it is taken out. */
+/** One mechanism, and the text replacement that removes it. */
 type Mutation = {
+  /** Number of the promise (guarantee) that the proof tests. */
   readonly promise: number;
   readonly mechanism: string;
-  /** Built file, from the root of the repository. */
+  /** Path of the built file, relative to the root of the repository. */
   readonly file: string;
   readonly find: string;
   readonly replace: string;
-  /** Pattern of the titles of the proofs that must fail. */
+  /** Pattern for the titles of the proofs that must fail (`mocha -g`). */
   readonly test: string;
 };
 
@@ -23,17 +24,17 @@
 const ROOT = join(PACKAGE, '..', '..');
 
 const mutations = JSON.parse(readFileSync(join(PACKAGE, 'mutations.json'), 'utf8')) as Mutation[];
-const wanted = process.argv[2];
+const selectedPromise = process.argv[2];
 let survived = 0;
 for (const mutation of mutations) {
-  if (wanted === undefined || wanted === String(mutation.promise)) {
-    survived += run(mutation) ? 0 : 1;
+  if (selectedPromise === undefined || selectedPromise === String(mutation.promise)) {
+    survived += proofFails(mutation) ? 0 : 1;
   }
 }
 process.stdout.write(`${survived} proofs passed without their mechanism\n`);
 process.exit(survived === 0 ? 0 : 1);
 
-function run(mutation: Mutation): boolean {
+function proofFails(mutation: Mutation): boolean {
   const path = join(ROOT, mutation.file);
   const original = readFileSync(path, 'utf8');
   if (!original.includes(mutation.find)) {
@@ -41,7 +42,7 @@
   }
   writeFileSync(path, original.replace(mutation.find, mutation.replace));
   try {
-    const failing = failingProofs(mutation.test);
+    const failing = countFailures(mutation.test);
     const verdict = failing > 0 ? `${failing} fail` : 'PASSES';
     process.stdout.write(
       `promise ${mutation.promise}, without "${mutation.mechanism}": ${verdict}\n`,
@@ -52,7 +53,7 @@
   }
 }
 
-function failingProofs(test: string): number {
+function countFailures(test: string): number {
   const run = spawnSync('npx', ['mocha', '-g', test], { cwd: ROOT, encoding: 'utf8' });
   const match = /(\d+) failing/.exec(run.stdout);
   return match === null ? 0 : Number(match[1]);
--- a/packages/proofs/src/bin-quickstart.ts
+++ b/packages/proofs/src/bin-quickstart.ts
@@ -1,4 +1,4 @@
-/** Runs the main job on the embedded stand-ins, for both users' deployments in small. */
+/** Quickstart: starts small copies of both users' deployments on stand-ins and sends each two chat requests. */
 import { EXIT_CODES } from '@hingescale/runtime';
 import yargs from 'yargs';
 import { hideBin } from 'yargs/helpers';
@@ -29,26 +29,26 @@
 const names = Object.keys(PROFILES) as Profile['name'][];
 const chosen = parsed.profile === undefined ? names : [parsed.profile];
 if (parsed.keep) {
-  await keep(chosen[0]);
+  await runUntilInterrupted(chosen[0]);
 } else {
   for (const name of chosen) {
-    await show(name);
+    await runOnce(name);
   }
 }
 process.exit(EXIT_CODES.ok);
 
-async function show(name: Profile['name']): Promise<void> {
+async function runOnce(name: Profile['name']): Promise<void> {
   const deployment = await start(name);
   try {
-    await ask(deployment);
+    await sendRequests(deployment);
   } finally {
     await stop(deployment);
   }
 }
 
-async function keep(name: Profile['name']): Promise<void> {
+async function runUntilInterrupted(name: Profile['name']): Promise<void> {
   const deployment = await start(name);
-  await ask(deployment);
+  await sendRequests(deployment);
   const [gateway] = deployment.gateways;
   print('\nGateways:    ' + deployment.gateways.map(entry => entry.address).join(', '));
   print('Controllers: ' + deployment.controllers.map(entry => `http://${entry.admin}`).join(', '));
@@ -75,7 +75,7 @@
   return deployment;
 }
 
-async function ask(deployment: Deployment): Promise<void> {
+async function sendRequests(deployment: Deployment): Promise<void> {
   const { caller, profile } = deployment;
   const [first, second] = deployment.gateways;
   for (const [gateway, stream] of [
@@ -91,19 +91,19 @@
       profile.prompt,
       options,
     );
-    report(gateway, stream ? 'streamed' : 'plain', answer);
+    printAnswer(gateway, stream ? 'streamed' : 'plain', answer);
   }
 }
 
-function report(gateway: DeployedGateway, kind: string, answer: CallerAnswer): void {
+function printAnswer(gateway: DeployedGateway, kind: string, answer: CallerAnswer): void {
   if (!answer.whole) {
     throw new Error(`${kind} request failed: ${answer.body}`);
   }
-  const ranOn = String(answer.headers['hingescale-ran-on'] ?? 'told in the stream only');
+  const ranOn = String(answer.headers['hingescale-ran-on'] ?? '(sent only in the stream)');
   print(`${kind} request through ${gateway.name}: "${answer.text.trim()}", ran on ${ranOn}`);
 }
 
-// A planned stop of every process; the stand-ins go last.
+// Stops every process by SIGTERM and checks the exit codes; the stand-ins stop last.
 async function stop(deployment: Deployment): Promise<void> {
   const children = [...deployment.gateways, ...deployment.controllers].map(({ child }) => child);
   children.forEach(child => {
@@ -112,8 +112,8 @@
   const codes = await Promise.all(children.map(child => child.exited()));
   await deployment.stop();
   if (codes.some(code => code !== EXIT_CODES.ok)) {
-    const last = children.map(child => child.lines.at(-1)?.message).join('\n');
-    throw new Error(`processes ended with ${codes.join(', ')}:\n${last}`);
+    const lastMessages = children.map(child => child.lines.at(-1)?.message).join('\n');
+    throw new Error(`processes ended with ${codes.join(', ')}:\n${lastMessages}`);
   }
   print('all processes stopped cleanly');
 }
--- a/packages/proofs/src/bin-suspended-test.ts
+++ b/packages/proofs/src/bin-suspended-test.ts
@@ -1,7 +1,7 @@
 /**
- * `npm run test:suspended -- FILE --title TEXT --runs N --seed S`: runs a test file unchanged, again and again, while its
- * processes are suspended by signals at drawn moments: the test's own, which plays engines and platform, gateways,
- * controllers and the operators' command.
+ * `npm run test:suspended -- FILE --title TEXT --runs N --seed S`: runs an unchanged test file repeatedly while its
+ * processes are suspended by signals at random moments: the test process, which simulates engines and platform, and
+ * its gateways, controllers and operator commands.
  */
 import { spawn } from 'node:child_process';
 import { readFileSync } from 'node:fs';
@@ -13,12 +13,14 @@
 import { hideBin } from 'yargs/helpers';
 
 const TEST_TIMEOUT_MS = 120_000;
-const MOST_PAUSE_MS = 1_200;
-/** Part of the suspensions that strike all processes of a run at once, 0 to 1. */
-const ALL_AT_ONCE_PART = 0.3;
+/** Longest pause between two suspensions. */
+const MAX_PAUSE_MS = 1_200;
+/** Share of the suspensions that stop all processes of a run at once, 0 to 1. */
+const ALL_AT_ONCE_SHARE = 0.3;
+/** Lines of output that are printed of a failed run. */
 const SHOWN_LINES = 25;
-/** The test, a controller and a gateway. */
-const LEAST_PROCESSES = 3;
+/** The test, a controller and a gateway; with fewer processes, none is suspended. */
+const MIN_PROCESSES = 3;
 
 const options = await yargs(hideBin(process.argv))
   .command('$0 <file>', 'run a test file under suspensions', command =>
@@ -62,38 +64,44 @@
     ...(options.title === '' ? [] : ['--fgrep', options.title]),
   ]);
   let output = '';
-  const take = (data: unknown): void => {
+  const appendOutput = (data: unknown): void => {
     output += String(data);
   };
-  child.stdout.on('data', take);
-  child.stderr.on('data', take);
+  child.stdout.on('data', appendOutput);
+  child.stderr.on('data', appendOutput);
   const exited = new Promise<number>(resolve => {
     child.on('close', code => {
       resolve(code ?? 1);
     });
   });
-  const over = new AbortController();
-  const suspending = suspendUntil(over.signal, child.pid ?? 0, () => uniformFloat64(generator));
+  const ended = new AbortController();
+  const suspending = suspendRepeatedly(ended.signal, child.pid ?? 0, () =>
+    uniformFloat64(generator),
+  );
   const code = await exited;
-  over.abort();
+  ended.abort();
   await suspending;
   return { code, output };
 }
 
-async function suspendUntil(over: AbortSignal, root: number, draw: () => number): Promise<void> {
-  while (!over.aborted) {
-    await sleep(draw() * MOST_PAUSE_MS, over);
+async function suspendRepeatedly(
+  ended: AbortSignal,
+  root: number,
+  draw: () => number,
+): Promise<void> {
+  while (!ended.aborted) {
+    await sleep(draw() * MAX_PAUSE_MS, ended);
     const running = descendants(root);
-    // Until the deployment stands, the test's own calls to its platform are all that there is.
-    if (running.length < LEAST_PROCESSES) {
+    // Before the deployment has started, there are only the test's own calls to its platform to disturb.
+    if (running.length < MIN_PROCESSES) {
       continue;
     }
-    const isAll = draw() < ALL_AT_ONCE_PART;
+    const isAll = draw() < ALL_AT_ONCE_SHARE;
     const one = running[Math.floor(draw() * running.length)];
-    const struck = isAll || one === undefined ? running : [one];
-    signalAll(struck, 'SIGSTOP');
-    await sleep(options.least + draw() * (options.most - options.least), over);
-    signalAll(struck, 'SIGCONT');
+    const suspended = isAll || one === undefined ? running : [one];
+    signalAll(suspended, 'SIGSTOP');
+    await sleep(options.least + draw() * (options.most - options.least), ended);
+    signalAll(suspended, 'SIGCONT');
   }
 }
 
@@ -109,7 +117,7 @@
   }
 }
 
-/** A process and all that it and its children have started, as far as they still run. */
+/** Ids of a process and all its descendants that still run. */
 function descendants(root: number): number[] {
   try {
     const children = readFileSync(`/proc/${root}/task/${root}/children`, 'utf8').trim();
--- a/packages/proofs/src/bin-suspensions.ts
+++ b/packages/proofs/src/bin-suspensions.ts
@@ -1,11 +1,11 @@
-/** `npm run test:suspensions -- --seed N --seeds M --case TEXT`: suspensions by signals, case by case. */
+/** `npm run test:suspensions -- --seed N --seeds M --case TEXT`: runs the suspension cases. */
 import yargs from 'yargs';
 import { hideBin } from 'yargs/helpers';
 
 import { SUSPENSION_CASES } from './suspensions/suspension-cases.js';
 import { runSuspensions } from './suspensions/suspension-session.js';
 
-const MOST_SHOWN = 8;
+const MAX_SHOWN_FAILURES = 8;
 
 const options = await yargs(hideBin(process.argv))
   .option('seed', { type: 'number', default: 1 })
@@ -20,14 +20,14 @@
   .strict()
   .parseAsync();
 
-let broken = 0;
+let failedSessions = 0;
 for (const suspension of SUSPENSION_CASES.filter(({ name }) => name.includes(options.case))) {
   for (let seed = options.seed; seed < options.seed + options.seeds; seed++) {
     const report = await runSuspensions(suspension, { seed, rounds: options.rounds });
     const { requests, notWhole, breaches, lines } = report;
     const parts = [`${notWhole.length} of ${requests} not whole`, `${breaches.length} breaches`];
     console.log(`${suspension.name}, seed ${seed}: ${parts.join(', ')}`);
-    [...notWhole, ...breaches].slice(0, MOST_SHOWN).forEach(text => {
+    [...notWhole, ...breaches].slice(0, MAX_SHOWN_FAILURES).forEach(text => {
       console.log(`  ${text}`);
     });
     if (options.logs) {
@@ -35,7 +35,7 @@
         console.log(`  ${JSON.stringify(line)}`);
       });
     }
-    broken += notWhole.length + breaches.length > 0 ? 1 : 0;
+    failedSessions += notWhole.length + breaches.length > 0 ? 1 : 0;
   }
 }
-process.exit(broken === 0 ? 0 : 1);
+process.exit(failedSessions === 0 ? 0 : 1);
--- a/packages/proofs/src/deployment/balancer.ts
+++ b/packages/proofs/src/deployment/balancer.ts
@@ -1,48 +1,50 @@
-/** The platform's balancer in small: hands out gateways that report ready. */
+/** A minimal load balancer, as the platform has one: lists the gateways whose readiness check succeeds. */
 import { sleep } from '@hingescale/runtime';
 import { Agent, request } from 'undici';
 
-const CHECK_MS = 30;
+/** Pause between two readiness checks of a gateway. */
+const CHECK_INTERVAL_MS = 30;
+const CHECK_TIMEOUT_MS = 500;
 
-/** Keeps the list of ready gateways. */
+/** Checks every gateway's `/readyz` periodically and keeps the list of ready gateways. */
 export class Balancer {
   readonly #addresses: readonly string[];
-  readonly #agent = new Agent({ pipelining: 0, connect: { timeout: 500 } });
+  readonly #agent = new Agent({ pipelining: 0, connect: { timeout: CHECK_TIMEOUT_MS } });
   readonly #ready = new Set<string>();
-  readonly #running: Promise<void>[];
+  readonly #checkLoops: Promise<void>[];
   #stopped = false;
 
   constructor(addresses: readonly string[]) {
     this.#addresses = addresses;
-    this.#running = addresses.map(address => this.#follow(address));
+    this.#checkLoops = addresses.map(address => this.#checkPeriodically(address));
   }
 
-  /** Gateways that reported ready at the last check. */
+  /** Addresses of the gateways that reported ready at their last check. */
   ready(): string[] {
     return this.#addresses.filter(address => this.#ready.has(address));
   }
 
-  /** Ends the checks. */
+  /** Stops the checks and closes the connections. */
   async stop(): Promise<void> {
     this.#stopped = true;
-    await Promise.all(this.#running);
+    await Promise.all(this.#checkLoops);
     await this.#agent.destroy();
   }
 
-  async #follow(address: string): Promise<void> {
+  async #checkPeriodically(address: string): Promise<void> {
     while (!this.#stopped) {
-      if (await this.#check(address)) {
+      if (await this.#isReady(address)) {
         this.#ready.add(address);
       } else {
         this.#ready.delete(address);
       }
-      await sleep(CHECK_MS);
+      await sleep(CHECK_INTERVAL_MS);
     }
   }
 
-  async #check(address: string): Promise<boolean> {
+  async #isReady(address: string): Promise<boolean> {
     try {
-      const signal = AbortSignal.timeout(500);
+      const signal = AbortSignal.timeout(CHECK_TIMEOUT_MS);
       const dispatcher = this.#agent;
       const response = await request(`http://${address}/readyz`, { dispatcher, signal });
       await response.body.dump();
--- a/packages/proofs/src/deployment/caller.ts
+++ b/packages/proofs/src/deployment/caller.ts
@@ -1,23 +1,23 @@
-/** A caller of a gateway: sends requests and judges what came back. */
+/** A caller of a gateway: sends requests and parses the answers. */
 import type { Execution, ProblemDocument } from '@hingescale/core';
 import { END_MARKER, SseReader } from '@hingescale/core';
 import { Agent, request } from 'undici';
 
-/** What a caller got. */
+/** The answer to a request as the caller received it. */
 export type CallerAnswer = {
   readonly status: number;
   readonly headers: Readonly<Record<string, string | string[] | undefined>>;
   readonly body: string;
-  /** Text of the answer, plain or joined from a stream. */
+  /** Generated text: of a plain answer, or joined from the events of a stream. */
   readonly text: string;
-  /** True when the answer is whole: JSON with 2xx, or a stream with its end marker. */
+  /** True when the answer is complete: its whole body with a 2xx status, or a stream with its end marker. */
   readonly whole: boolean;
   readonly problem: ProblemDocument | undefined;
-  /** What the caller was told of the execution; undefined when the connection broke silently. */
+  /** Execution as reported to the caller; undefined when the connection broke without a problem document. */
   readonly execution: Execution | 'done' | undefined;
 };
 
-/** A request of a caller. */
+/** A request to a gateway; by default a POST to the chat completions path. */
 export type CallerRequest = {
   readonly address: string;
   readonly key: string;
@@ -28,11 +28,11 @@
   readonly signal?: AbortSignal;
 };
 
-/** Sends requests over connections of its own. */
+/** Sends requests over its own connection pool. */
 export class Caller {
   readonly #agent = new Agent({ pipelining: 0 });
 
-  /** Sends a request; a broken connection is an answer without status. */
+  /** Sends a request; when no response arrives, the answer has status 0. */
   async send(call: CallerRequest): Promise<CallerAnswer> {
     try {
       const response = await request(
@@ -51,21 +51,21 @@
       );
       const { headers, statusCode } = response;
       let body = '';
-      let broken = false;
+      let isBroken = false;
       try {
         for await (const bytes of response.body) {
           body += Buffer.from(bytes as Uint8Array).toString('utf8');
         }
       } catch {
-        broken = true;
+        isBroken = true;
       }
-      return judge(statusCode, headers, body, broken);
+      return parseAnswer(statusCode, headers, body, isBroken);
     } catch {
-      return judge(0, {}, '', true);
+      return parseAnswer(0, {}, '', true);
     }
   }
 
-  /** Asks a chat model. */
+  /** Sends a chat completion request. */
   chat(
     address: string,
     key: string,
@@ -94,18 +94,19 @@
   }
 }
 
-function judge(
+function parseAnswer(
   status: number,
   headers: CallerAnswer['headers'],
   body: string,
-  broken: boolean,
+  isBroken: boolean,
 ): CallerAnswer {
   const type = String(headers['content-type'] ?? '');
   if (type.startsWith('text/event-stream')) {
-    return judgeStream(status, headers, body, broken);
+    return parseStreamAnswer(status, headers, body, isBroken);
   }
-  const problem = type.startsWith('application/problem+json') && !broken ? parse(body) : undefined;
-  const whole = !broken && status >= 200 && status < 300;
+  const problem =
+    type.startsWith('application/problem+json') && !isBroken ? parseJson(body) : undefined;
+  const whole = !isBroken && status >= 200 && status < 300;
   const execution = whole ? 'done' : (problem as ProblemDocument | undefined)?.execution;
   const text = whole ? textOf(body) : '';
   return {
@@ -119,18 +120,19 @@
   };
 }
 
-function judgeStream(
+function parseStreamAnswer(
   status: number,
   headers: CallerAnswer['headers'],
   body: string,
-  broken: boolean,
+  isBroken: boolean,
 ): CallerAnswer {
   const events = new SseReader().feed(body);
-  const whole = !broken && events[events.length - 1]?.data === END_MARKER;
+  const whole = !isBroken && events[events.length - 1]?.data === END_MARKER;
   let text = '';
   let problem: ProblemDocument | undefined;
   for (const event of events) {
-    const data = event.data === END_MARKER ? {} : (parse(event.data) as Record<string, unknown>);
+    const data =
+      event.data === END_MARKER ? {} : (parseJson(event.data) as Record<string, unknown>);
     if ('execution' in data) {
       problem = data as unknown as ProblemDocument;
     } else {
@@ -141,7 +143,8 @@
   return { status, headers, body, text, whole, problem, execution };
 }
 
-type AnyAnswer = {
+/** The fields of an answer or stream event that carry text. */
+type TextAnswer = {
   readonly choices?: readonly {
     readonly message?: { readonly content: string };
     readonly delta?: { readonly content?: string };
@@ -150,12 +153,12 @@
 };
 
 function textOf(body: string): string {
-  const answer = parse(body) as AnyAnswer | undefined;
+  const answer = parseJson(body) as TextAnswer | undefined;
   const choice = answer?.choices?.[0];
   return choice?.message?.content ?? choice?.delta?.content ?? choice?.text ?? '';
 }
 
-function parse(text: string): unknown {
+function parseJson(text: string): unknown {
   try {
     return JSON.parse(text);
   } catch {
--- a/packages/proofs/src/deployment/child.ts
+++ b/packages/proofs/src/deployment/child.ts
@@ -1,4 +1,4 @@
-/** A process of the system, started by a proof or the quickstart, with its log lines. */
+/** Child processes of a deployment (gateway, controller, stand-ins) and the log lines that they write. */
 import type { ChildProcess } from 'node:child_process';
 import { spawn } from 'node:child_process';
 import { appendFileSync, mkdtempSync, writeFileSync } from 'node:fs';
@@ -9,19 +9,19 @@
 import type { SettingsValues } from './settings-text.js';
 import { iniText } from './settings-text.js';
 
-/** One log line of a process, as JSON. */
+/** One log line of a process, parsed from JSON; a line that is not JSON becomes the message. */
 export type LogLine = {
   readonly message: string;
   readonly [field: string]: unknown;
 };
 
 const require = createRequire(import.meta.url);
-const START_TIMEOUT_MS = 15_000;
+const LINE_TIMEOUT_MS = 15_000;
 
-/** Children that run; an interrupted session must not leave any behind. */
-const running = new Set<ChildProcess>();
+/** Running children; they are killed on exit, so that an interrupted session leaves none behind. */
+const runningChildren = new Set<ChildProcess>();
 process.on('exit', () => {
-  running.forEach(child => child.kill('SIGKILL'));
+  runningChildren.forEach(child => child.kill('SIGKILL'));
 });
 
 /** Path of a binary's JavaScript file. */
@@ -30,56 +30,60 @@
   return join(dirname(entry), `bin-${program}.js`);
 }
 
-/** A child process; every one of them is ended by its own proof. */
+/** A child process with its settings file and log; the proof that starts it must end it. */
 export class Child {
   readonly lines: LogLine[] = [];
-  readonly #path: string;
-  readonly #file: string;
+  readonly #programPath: string;
+  readonly #settingsFile: string;
   #process: ChildProcess | undefined;
   #exit: Promise<number> = Promise.resolve(0);
-  #waiting: (() => void)[] = [];
+  #lineWaiters: (() => void)[] = [];
 
   constructor(
     program: 'gateway' | 'controller' | 'stand-ins',
     name: string,
     settings: SettingsValues,
   ) {
-    this.#path = binaryPath(program);
-    this.#file = join(mkdtempSync(join(tmpdir(), 'hingescale-')), `${name}.ini`);
-    writeFileSync(this.#file, iniText(settings));
+    this.#programPath = binaryPath(program);
+    this.#settingsFile = join(mkdtempSync(join(tmpdir(), 'hingescale-')), `${name}.ini`);
+    writeFileSync(this.#settingsFile, iniText(settings));
   }
 
-  /** Starts the process and waits until it says so. */
+  /** Starts the process and waits for its log line that ends with " started". */
   async start(): Promise<void> {
     this.lines.length = 0;
-    const child = spawn(process.execPath, [...nodeOptions(), this.#path, '--config', this.#file], {
-      stdio: ['ignore', 'ignore', 'pipe'],
-    });
+    const child = spawn(
+      process.execPath,
+      [...nodeOptions(), this.#programPath, '--config', this.#settingsFile],
+      {
+        stdio: ['ignore', 'ignore', 'pipe'],
+      },
+    );
     this.#process = child;
-    running.add(child);
-    child.once('exit', () => running.delete(child));
+    runningChildren.add(child);
+    child.once('exit', () => runningChildren.delete(child));
     this.#exit = new Promise(resolve => {
       child.on('exit', (code, signal) => {
         resolve(signal === null ? (code ?? 1) : 128);
-        this.#wake();
+        this.#wakeWaiters();
       });
     });
-    const logFile = logFileOf(this.#file, child.pid);
-    let rest = '';
+    const logFile = logFileOf(this.#settingsFile, child.pid);
+    let partialLine = '';
     child.stderr?.setEncoding('utf8').on('data', (text: string) => {
-      const lines = (rest + text).split('\n');
-      rest = lines.pop() ?? '';
+      const lines = (partialLine + text).split('\n');
+      partialLine = lines.pop() ?? '';
       lines.forEach(line => {
         if (logFile !== undefined) {
           appendFileSync(logFile, `${line}\n`);
         }
-        this.#take(line);
+        this.#addLine(line);
       });
     });
     await this.waitForLine(line => line.message.endsWith(' started'));
   }
 
-  /** Sends a signal. */
+  /** Sends a signal to the process. */
   signal(signal: NodeJS.Signals): void {
     this.#process?.kill(signal);
   }
@@ -89,27 +93,27 @@
     return this.#exit;
   }
 
-  /** Ends the process at once, a stopped one too. */
+  /** Kills the process with SIGKILL, which also ends a suspended one, and waits for its exit. */
   async kill(): Promise<void> {
     this.signal('SIGKILL');
     await this.#exit;
   }
 
-  /** Resolves with the first line, old or new, that the test accepts. */
-  async waitForLine(test: (line: LogLine) => boolean): Promise<LogLine> {
-    const until = performance.now() + START_TIMEOUT_MS;
+  /** Resolves with the first log line that the predicate accepts, among those logged already and later ones. */
+  async waitForLine(isExpected: (line: LogLine) => boolean): Promise<LogLine> {
+    const deadline = performance.now() + LINE_TIMEOUT_MS;
     for (;;) {
-      const found = this.lines.find(test);
+      const found = this.lines.find(isExpected);
       if (found !== undefined) {
         return found;
       }
-      if (this.#process?.exitCode !== null || performance.now() > until) {
+      if (this.#process?.exitCode !== null || performance.now() > deadline) {
         const log = this.lines.map(line => JSON.stringify(line)).join('\n');
-        throw new Error(`process did not come so far:\n${log}`);
+        throw new Error(`process ended or timed out before it logged the expected line:\n${log}`);
       }
       await new Promise<void>(resolve => {
         const timer = setTimeout(resolve, 100);
-        this.#waiting.push(() => {
+        this.#lineWaiters.push(() => {
           clearTimeout(timer);
           resolve();
         });
@@ -117,31 +121,31 @@
     }
   }
 
-  #take(line: string): void {
+  #addLine(line: string): void {
     try {
       this.lines.push(JSON.parse(line) as LogLine);
     } catch {
       this.lines.push({ message: line });
     }
-    this.#wake();
+    this.#wakeWaiters();
   }
 
-  #wake(): void {
-    const waiting = this.#waiting;
-    this.#waiting = [];
-    waiting.forEach(wake => {
+  #wakeWaiters(): void {
+    const waiters = this.#lineWaiters;
+    this.#lineWaiters = [];
+    waiters.forEach(wake => {
       wake();
     });
   }
 }
 
-// For traces: a folder that keeps what the processes of a test have logged.
+// Where PROOF_LOGS names a folder, each process's log is also kept in a file there.
 function logFileOf(settingsFile: string, pid: number | undefined): string | undefined {
   const folder = process.env.PROOF_LOGS;
   return folder === undefined ? undefined : join(folder, `${basename(settingsFile)}.${pid}.log`);
 }
 
-// For profiles: options for the node of each process, separated by spaces.
+// Node.js options for each child process, separated by spaces; used for profiling.
 function nodeOptions(): string[] {
   const options = process.env.HINGESCALE_NODE_OPTIONS ?? '';
   return options === '' ? [] : options.split(' ');
--- a/packages/proofs/src/deployment/deployment.ts
+++ b/packages/proofs/src/deployment/deployment.ts
@@ -1,4 +1,7 @@
-/** A whole deployment on loopback: stand-ins in this process, gateways and controllers as children. */
+/**
+ * A whole deployment on loopback: gateways and controllers run as child processes, the stand-ins in
+ * this process or in one of their own.
+ */
 import type { Host } from '@hingescale/core';
 import { acceptChange, PlatformClient, readRevision } from '@hingescale/object-store';
 import { silentLog, sleep } from '@hingescale/runtime';
@@ -28,10 +31,10 @@
 import type { StandInsProcess } from './stand-ins-process.js';
 import { startStandInsProcess } from './stand-ins-process.js';
 
-/** What a proof asks for; the rest has small defaults. */
+/** Size and settings of a deployment; every option has a small default. */
 export type DeploymentOptions = {
   readonly profile?: Profile['name'];
-  /** Failure domains that have processes; the others of the profile stay empty. */
+  /** Number of the profile's failure domains that get processes; by default 1. */
   readonly domains?: number;
   readonly controllersPerDomain?: number;
   readonly gatewaysPerDomain?: number;
@@ -40,7 +43,7 @@
   readonly engine?: Partial<EngineOptions>;
   readonly timing?: Readonly<Record<string, number>>;
   readonly logLevel?: string;
-  /** Starts gateways one by one, once the controllers have formed the groups. */
+  /** Starts gateways one after another, after the controllers have formed the replica groups. */
   readonly inTurn?: boolean;
   /** Further values of the gateways' `[callers]` section. */
   readonly callers?: Readonly<Record<string, number>>;
@@ -48,15 +51,15 @@
   readonly routing?: Readonly<Record<string, string>>;
   /** Further values of the gateways' `[limits]` section. */
   readonly limits?: Readonly<Record<string, number>>;
-  /** Address by which a process reaches the platform; for cuts. */
+  /** Address by which a process reaches the platform; a proof can put a proxy there to cut the connection. */
   readonly platformFor?: (process: string, platform: string) => string;
-  /** Platform, engine hosts and services run in a process of their own, which can be suspended. */
+  /** Runs platform, engine hosts and services in a separate process, which can be suspended. */
   readonly standInsApart?: boolean;
-  /** Addresses by which a process reaches controllers; for cuts. */
+  /** Addresses by which a process reaches controllers; as for the platform, a proof can put proxies there. */
   readonly controllersFor?: (process: string, controllers: readonly string[]) => readonly string[];
 };
 
-/** A gateway of a deployment. */
+/** A gateway process; `address` serves callers, `link` serves other entry hosts. */
 export type DeployedGateway = {
   readonly child: Child;
   readonly name: string;
@@ -65,7 +68,7 @@
   readonly link: string;
 };
 
-/** A controller of a deployment. */
+/** A controller process; `link` serves other entry hosts, `admin` the administration API. */
 export type DeployedController = {
   readonly child: Child;
   readonly name: string;
@@ -74,25 +77,25 @@
   readonly admin: string;
 };
 
-const WAIT_MS = 20_000;
-const WAIT_STEP_MS = 20;
+const DEFAULT_WAIT_MS = 20_000;
+const POLL_INTERVAL_MS = 20;
 
-/** Waits until a condition holds; fails with what was waited for. */
+/** Polls until a condition holds; on a timeout, throws an error that names the condition. */
 export async function eventually(
-  what: string,
+  description: string,
   condition: () => boolean | Promise<boolean>,
-  timeoutMs = WAIT_MS,
+  timeoutMs = DEFAULT_WAIT_MS,
 ): Promise<void> {
-  const until = performance.now() + timeoutMs;
+  const deadline = performance.now() + timeoutMs;
   while (!(await condition())) {
-    if (performance.now() > until) {
-      throw new Error(`did not come about: ${what}`);
+    if (performance.now() > deadline) {
+      throw new Error(`timed out waiting for: ${description}`);
     }
-    await sleep(WAIT_STEP_MS);
+    await sleep(POLL_INTERVAL_MS);
   }
 }
 
-/** A running deployment. */
+/** Starts, configures and stops the processes of a deployment. */
 export class Deployment {
   readonly profile: Profile;
   readonly caller = new Caller();
@@ -102,7 +105,7 @@
   engine!: EngineStandIn;
   services: ServiceStandIn[] = [];
   client!: PlatformClient;
-  /** The process of the stand-ins, where they run apart; then none of them can be reached as objects. */
+  /** The stand-ins process, if they run in one; `platform`, `engine` and `services` are then not set. */
   standIns: StandInsProcess | undefined;
   readonly #options: DeploymentOptions;
 
@@ -111,7 +114,7 @@
     this.profile = PROFILES[options.profile ?? 'acquiring'];
   }
 
-  /** Starts everything and waits until the wanted groups are certified at every gateway. */
+  /** Starts a deployment and waits until every gateway has one certified group per failure domain. */
   static async start(options: DeploymentOptions = {}): Promise<Deployment> {
     const deployment = new Deployment(options);
     await deployment.startStandIns();
@@ -126,7 +129,7 @@
     return this.profile.failureDomains.slice(0, this.#options.domains ?? 1);
   }
 
-  /** Key of a workspace. */
+  /** Caller key of a workspace, given by its index in the profile. */
   key(workspace = 0): string {
     return callerKey(this.profile.workspaces[workspace]);
   }
@@ -135,8 +138,8 @@
   async startStandIns(): Promise<void> {
     const listen = '127.0.0.1:0';
     if (this.#options.standInsApart === true) {
-      this.standIns = await this.#startStandInsApart();
-      this.client = this.#connect();
+      this.standIns = await this.#startSeparateStandIns();
+      this.client = this.#connectToPlatform();
       return;
     }
     const limits = {
@@ -156,24 +159,24 @@
     });
     this.listHosts();
     this.services = await Promise.all(this.domains.map(() => startService(listen)));
-    this.client = this.#connect();
+    this.client = this.#connectToPlatform();
   }
 
-  /** Puts the hosts on the platform's list, some of them leaving. */
+  /** Sets the platform's list of hosts: those of the deployment, some marked as leaving, and more. */
   listHosts(leaving: readonly string[] = [], more: readonly Host[] = []): void {
     const count = this.#options.hostsPerDomain ?? 4;
     const hosts = profileHosts(this.profile, count, id => this.engine.addresses.get(id) ?? '');
-    const own = hosts.filter(host => this.domains.includes(host.failureDomain));
-    const marked = own.map(host =>
+    const deployed = hosts.filter(host => this.domains.includes(host.failureDomain));
+    const marked = deployed.map(host =>
       leaving.includes(host.id) ? { ...host, state: 'leaving' as const } : host,
     );
     this.platform.setHosts([...marked, ...more]);
   }
 
-  /** Makes a configuration the next revision; gives its number. */
+  /** Stores the changed configuration as the next revision; returns the revision's number. */
   async apply(change: Partial<ConfigurationOptions> = {}): Promise<number> {
-    const present = await readRevision(this.client);
-    const base = present.isOk ? present.value.head.revision : 0;
+    const current = await readRevision(this.client);
+    const base = current.isOk ? current.value.head.revision : 0;
     const files = [{ name: 'deployment.ini', text: this.configurationText(change) }];
     const accepted = await acceptChange(this.client, {
       files,
@@ -191,11 +194,11 @@
   configurationText(change: Partial<ConfigurationOptions> = {}): string {
     const services = this.standIns?.services ?? this.services.map(service => service.address);
     const runners = services.map((address, index) => `${this.domains[index]}@http://${address}`);
-    const [model] = this.domains;
+    const [firstDomain] = this.domains;
     return configurationText(
       {
         ...this.profile,
-        failureDomains: this.domains.length > 0 ? this.domains : [model],
+        failureDomains: this.domains.length > 0 ? this.domains : [firstDomain],
       },
       {
         hostsPerGroup: 4,
@@ -219,21 +222,23 @@
     };
     for (const domain of this.domains) {
       const remote = this.domains.filter(other => other !== domain).flatMap(linksOf);
-      await this.#planDomain(domain, linksOf(domain), remote);
+      await this.#addProcesses(domain, linksOf(domain), remote);
     }
     if (this.#options.inTurn === true) {
       await Promise.all(this.controllers.map(({ child }) => child.start()));
       await eventually('groups are ready', () => this.#groupsAreReady());
       for (const gateway of this.gateways) {
         await gateway.child.start();
-        await eventually(`${gateway.name} owns keys`, () => this.#ownsKeys(gateway));
+        await eventually(`${gateway.name} issues idempotency keys`, () =>
+          this.#issuesKeys(gateway),
+        );
       }
     } else {
       await Promise.all([...this.controllers, ...this.gateways].map(({ child }) => child.start()));
     }
   }
 
-  /** Waits until every gateway has so many certified groups. */
+  /** Waits until every gateway has at least this number of certified groups. */
   async ready(groups = this.domains.length): Promise<void> {
     await Promise.all(
       this.gateways.map(gateway =>
@@ -244,7 +249,7 @@
     );
   }
 
-  /** Certified groups at a gateway; -1 when it does not answer. */
+  /** Number of certified groups at a gateway; -1 when it does not answer with 200. */
   async readyGroups(gateway: DeployedGateway): Promise<number> {
     const call = {
       address: gateway.address,
@@ -281,7 +286,7 @@
     return JSON.parse(await response.body.text()) as T;
   }
 
-  /** Ends everything. */
+  /** Kills all processes, closes the connections and stops the stand-ins. */
   async stop(): Promise<void> {
     await Promise.all([...this.gateways, ...this.controllers].map(({ child }) => child.kill()));
     await this.caller.close();
@@ -297,11 +302,11 @@
     return `http://${this.standIns?.platform ?? this.platform.address}`;
   }
 
-  #connect(): PlatformClient {
+  #connectToPlatform(): PlatformClient {
     return new PlatformClient({ url: this.#platformUrl, timeoutMs: 500, log: silentLog() });
   }
 
-  #startStandInsApart(): Promise<StandInsProcess> {
+  #startSeparateStandIns(): Promise<StandInsProcess> {
     const count = this.#options.hostsPerDomain ?? 4;
     return startStandInsProcess({
       engineHosts: this.domains.flatMap(domain => hostNames(domain, count)),
@@ -313,7 +318,7 @@
     });
   }
 
-  async #ownsKeys({ address }: DeployedGateway): Promise<boolean> {
+  async #issuesKeys({ address }: DeployedGateway): Promise<boolean> {
     const call = { address, key: this.key(), path: '/v1/idempotency-keys', body: {} };
     return (await this.caller.send(call)).status === 201;
   }
@@ -327,7 +332,7 @@
     return states.every(({ groups }) => groups.some(group => group.state === 'ready'));
   }
 
-  async #planDomain(
+  async #addProcesses(
     domain: string,
     links: readonly string[],
     remote: readonly string[],
@@ -338,7 +343,10 @@
     links.forEach((link, index) => {
       const name = `${domain}-c${index + 1}`;
       const admin = addresses[index];
-      const settings = controllerSettings(this.#plan(name, domain, link, links, remote), admin);
+      const settings = controllerSettings(
+        this.#processPlan(name, domain, link, links, remote),
+        admin,
+      );
       const child = new Child('controller', name, settings);
       this.controllers.push({
         child,
@@ -348,11 +356,11 @@
         admin,
       });
     });
-    const rest = addresses.slice(links.length);
-    for (let index = 0; 2 * index < rest.length; index++) {
+    const gatewayAddresses = addresses.slice(links.length);
+    for (let index = 0; 2 * index < gatewayAddresses.length; index++) {
       const name = `${domain}-g${index + 1}`;
-      const [link, address] = rest.slice(2 * index);
-      const plan = this.#plan(name, domain, link, links, remote);
+      const [link, address] = gatewayAddresses.slice(2 * index);
+      const plan = this.#processPlan(name, domain, link, links, remote);
       const settings = {
         ...gatewaySettings(plan, address, this.#options.callers, this.#options.limits),
         routing: this.#options.routing ?? {},
@@ -362,7 +370,7 @@
     }
   }
 
-  #plan(
+  #processPlan(
     name: string,
     failureDomain: string,
     link: string,
--- a/packages/proofs/src/deployment/load.ts
+++ b/packages/proofs/src/deployment/load.ts
@@ -1,4 +1,4 @@
-/** Callers that keep sending requests while failures are injected, and remember what they got. */
+/** Callers that send requests continuously while failures are injected, and record the answers. */
 import { sleep } from '@hingescale/runtime';
 import type { RunRecord } from '@hingescale/stand-ins';
 import { fingerprintOf } from '@hingescale/stand-ins';
@@ -6,59 +6,63 @@
 import type { CallerAnswer } from './caller.js';
 import type { Deployment } from './deployment.js';
 
-/** One request and its answer. */
+/** One request and the answer to it. */
 export type Delivery = {
   readonly requestId: string;
   readonly gateway: string;
   readonly workspace: string;
-  /** What every token of the right answer starts with. */
+  /** Prefix of every token of the correct answer; derived from the prompt. */
   readonly fingerprint: string;
+  /** Number of requested tokens. */
   readonly tokens: number;
   readonly answer: CallerAnswer;
 };
 
-/** Options of a load. */
+/** Number of callers and the requests that they send. */
 export type LoadOptions = {
   readonly callers: number;
   readonly tokens?: number;
-  /** Every second request is streamed unless this says otherwise. */
+  /** Whether requests are streamed; by default every second one is. */
   readonly stream?: boolean;
+  /** Pause of each caller between two requests. */
   readonly pauseMs?: number;
   readonly headers?: Readonly<Record<string, string>>;
-  /** Gateways to use at the moment of a request; by default all. */
+  /** Addresses of the gateways that a request may be sent to, read at each request; by default all. */
   readonly addresses?: () => readonly string[];
 };
 
 const DEFAULT_TOKENS = 4;
 const DEFAULT_PAUSE_MS = 5;
 
-/** A running load. */
+/** Concurrent callers that send requests until they are stopped. */
 export class Load {
   readonly deliveries: Delivery[] = [];
   readonly #deployment: Deployment;
   readonly #options: LoadOptions;
-  readonly #running: Promise<void>[];
+  readonly #callerLoops: Promise<void>[];
   #stopped = false;
-  #next = 0;
+  #requestCount = 0;
 
   constructor(deployment: Deployment, options: LoadOptions) {
     this.#deployment = deployment;
     this.#options = options;
-    this.#running = Array.from({ length: options.callers }, (_unused, index) => this.#call(index));
+    this.#callerLoops = Array.from({ length: options.callers }, (_unused, index) =>
+      this.#runCaller(index),
+    );
   }
 
-  /** Lets the callers finish their last requests; gives all deliveries. */
+  /** Stops the callers once their last requests are answered; returns all deliveries. */
   async stop(): Promise<Delivery[]> {
     this.#stopped = true;
-    await Promise.all(this.#running);
+    await Promise.all(this.#callerLoops);
     return this.deliveries;
   }
 
-  async #call(caller: number): Promise<void> {
+  async #runCaller(caller: number): Promise<void> {
     const { profile, gateways } = this.#deployment;
     const workspace = caller % profile.workspaces.length;
     while (!this.#stopped) {
-      const number = this.#next++;
+      const number = this.#requestCount++;
       const requestId = `load-${caller}-${number}`;
       const prompt = `${profile.prompt} (${requestId})`;
       const addresses = this.#options.addresses?.() ?? gateways.map(entry => entry.address);
@@ -88,7 +92,7 @@
   }
 }
 
-/** True when a whole answer consists of exactly the tokens of its own request. */
+/** True when an answer consists of exactly the expected tokens of its own request. */
 export function isOwnWholeAnswer(delivery: Delivery): boolean {
   const expected = Array.from(
     { length: delivery.tokens },
@@ -97,17 +101,20 @@
   return delivery.answer.text.trim() === expected.join(' ');
 }
 
-/** Ids of the requests that engines ran, as callers chose them. */
+/** Request ids, as callers chose them, of the requests that engine hosts ran. */
 export function requestIdsRun(deployment: Deployment): Set<string> {
   return callersIds(deployment.engine.runs);
 }
 
-/** Request ids of runs, as callers chose them. */
+/** Request ids of runs as callers chose them: without the suffix that the gateway adds after a dot. */
 export function callersIds(runs: readonly RunRecord[]): Set<string> {
   return new Set(runs.map(run => run.requestId.split('.')[0]));
 }
 
-/** Deliveries that break a promise about answers: cut, foreign, or falsely called not run. */
+/**
+ * Deliveries that break a guarantee about answers: truncated or another request's answer although
+ * reported complete, or reported as not run although an engine host ran the request.
+ */
 export function breaches(
   deliveries: readonly Delivery[],
   ran: ReadonlySet<string>,
@@ -115,10 +122,10 @@
   return deliveries.flatMap(delivery => {
     const { answer, requestId } = delivery;
     if (answer.whole && !isOwnWholeAnswer(delivery)) {
-      return [{ kind: 'not the whole own answer', delivery }];
+      return [{ kind: 'complete answer has wrong tokens', delivery }];
     }
     if (answer.execution === 'not-run' && ran.has(requestId)) {
-      return [{ kind: 'ran although called not run', delivery }];
+      return [{ kind: 'ran although reported as not run', delivery }];
     }
     return [];
   });
--- a/packages/proofs/src/deployment/ports.ts
+++ b/packages/proofs/src/deployment/ports.ts
@@ -1,26 +1,26 @@
 /**
- * Free addresses on loopback, with ports given out by the kernel.
+ * Free addresses on loopback, with ports assigned by the kernel.
  *
- * Each address has a loopback IP of its own. Connections that go out use 127.0.0.1, so none of them
- * can take a port between the moment it is given out and the moment its process listens.
+ * Each address has its own loopback IP. Outgoing connections use 127.0.0.1, so none of them can take a
+ * port between the moment it is assigned and the moment its process listens on it.
  */
 import type { AddressInfo } from 'node:net';
 import { createServer } from 'node:net';
 
-/** IPs 127.16.0.0 to 127.255.255.255 are handed out, by process and in turn. */
+/** Addresses come from 127.16.0.0 to 127.255.255.255: the process id selects a block, a counter the IP in it. */
 const FIRST_BLOCK = 16;
-const BLOCKS = 240;
+const BLOCK_COUNT = 240;
 const ADDRESSES_PER_BLOCK = 60_000;
-let handedOut = 0;
+let allocatedIps = 0;
 
-/** A loopback IP that this process has not handed out before. */
+/** Allocates a loopback IP from a counter; where the counter gives an IP that ends in .0, it ends in .1 instead. */
 export function loopbackIp(): string {
-  const block = FIRST_BLOCK + (process.pid % BLOCKS);
-  const number = 256 + (handedOut++ % ADDRESSES_PER_BLOCK);
+  const block = FIRST_BLOCK + (process.pid % BLOCK_COUNT);
+  const number = 256 + (allocatedIps++ % ADDRESSES_PER_BLOCK);
   return `127.${block}.${number >> 8}.${number & 255 || 1}`;
 }
 
-/** A free `ip:port`; it is held only for the moment of asking. */
+/** Finds a free `ip:port`; the port is released again before this returns. */
 export async function freeAddress(): Promise<string> {
   const ip = loopbackIp();
   const server = createServer();
@@ -36,7 +36,7 @@
   return `${ip}:${port}`;
 }
 
-/** So many different free addresses. */
+/** Finds the given number of different free addresses. */
 export function freeAddresses(count: number): Promise<string[]> {
   return Promise.all(Array.from({ length: count }, freeAddress));
 }
--- a/packages/proofs/src/deployment/profile.ts
+++ b/packages/proofs/src/deployment/profile.ts
@@ -1,21 +1,21 @@
-/** The two users' deployments in small: names, keys and configuration. */
+/** Small copies of the two users' deployments: names, keys and configuration. */
 import type { Host } from '@hingescale/core';
 import { sha256 } from '@hingescale/runtime';
 
-/** A deployment in small. */
+/** Names and prompt of one user's deployment. */
 export type Profile = {
   readonly name: 'acquiring' | 'caudal';
   readonly failureDomains: readonly string[];
   readonly model: string;
   readonly service: string;
-  /** Call of the service that must not run twice. */
+  /** Method and path of the service call that must not run twice. */
   readonly nonRepeatable: string;
   readonly workspaces: readonly string[];
-  /** A prompt of the users' own trade. */
+  /** A prompt that is typical of this user. */
   readonly prompt: string;
 };
 
-/** Both deployments. */
+/** The two profiles by name. */
 export const PROFILES: Readonly<Record<Profile['name'], Profile>> = {
   acquiring: {
     name: 'acquiring',
@@ -37,29 +37,31 @@
   },
 };
 
-/** Values of a configuration that proofs vary. */
+/** The values of the configuration that proofs vary. */
 export type ConfigurationOptions = {
-  /** Version of the model; left out: 1. */
+  /** Version of the model; 1 by default. */
   readonly version?: string;
+  /** Hosts of one replica group. */
   readonly hostsPerGroup: number;
   readonly replicas: number;
   readonly slots: number;
+  /** Whether upstream hosts check the fencing number of orders. */
   readonly checksFence: boolean;
   /** `failure-domain@url` of each service runner. */
   readonly runners: readonly string[];
-  /** Further INI text. */
+  /** INI text that is appended. */
   readonly extra?: string;
 };
 
-/** Caller key of a workspace, as the deployments in small use it. */
+/** Caller key of a workspace in these deployments. */
 export function callerKey(workspace: string): string {
   return `key-of-${workspace}`;
 }
 
-/** Key of the operator of the deployments in small. */
+/** Key of the operator in these deployments. */
 export const OPERATOR_KEY = 'operator-key-for-loopback';
 
-/** The configuration of a profile as INI text. */
+/** Builds the configuration of a profile as INI text. */
 export function configurationText(profile: Profile, options: ConfigurationOptions): string {
   const share = (1 / profile.workspaces.length).toFixed(3);
   const workspaces = profile.workspaces.map(
@@ -93,7 +95,7 @@
 ${options.extra ?? ''}`;
 }
 
-/** Hosts of a profile: a number per failure domain, all of one fabric domain each. */
+/** Hosts of a profile: the same number in each failure domain, with one fabric domain per failure domain. */
 export function profileHosts(
   profile: Profile,
   hostsPerDomain: number,
--- a/packages/proofs/src/deployment/settings-text.ts
+++ b/packages/proofs/src/deployment/settings-text.ts
@@ -1,15 +1,15 @@
-/** Settings files of gateways and controllers on loopback. */
+/** Builds the settings files of gateways and controllers on loopback. */
 import { sha256 } from '@hingescale/runtime';
 
 import { OPERATOR_KEY } from './profile.js';
 
-/** Sections of an INI text: section, key, value. */
+/** Values of an INI file by section and key. */
 export type SettingsValues = Readonly<Record<string, Readonly<Record<string, string | number>>>>;
 
-/** Key that the links of a deployment share. */
+/** Key that all processes of a deployment share for their links. */
 export const LINK_KEY = 'link-key-for-loopback-tests';
 
-/** Short times, so that proofs take seconds; ratios are those of the defaults. */
+/** Times short enough for proofs to take seconds, in the same ratios as the default settings. */
 export const FAST_TIMING = {
   'heartbeat-ms': 50,
   'probe-ms': 50,
@@ -21,7 +21,7 @@
   'drain-ms': 20_000,
 };
 
-/** What a process of a deployment is told. */
+/** The values that the settings of one process are built from; links are given as `ip:port`. */
 export type ProcessPlan = {
   readonly name: string;
   readonly failureDomain: string;
@@ -33,7 +33,7 @@
   readonly logLevel: string;
 };
 
-/** Settings of a gateway. */
+/** Builds the settings of a gateway. */
 export function gatewaySettings(
   plan: ProcessPlan,
   listen: string,
@@ -41,23 +41,23 @@
   limits: Readonly<Record<string, number>> = {},
 ): SettingsValues {
   return {
-    ...common(plan),
+    ...commonSettings(plan),
     callers: { listen, 'notice-ms': 200, ...callers },
     limits: { ...limits },
   };
 }
 
-/** Settings of a controller. */
+/** Builds the settings of a controller. */
 export function controllerSettings(plan: ProcessPlan, admin: string): SettingsValues {
   const operators = `ops:${sha256(OPERATOR_KEY)}`;
   return {
-    ...common(plan),
+    ...commonSettings(plan),
     admin: { listen: admin, operators },
     orders: { 'retry-ms': 200 },
   };
 }
 
-/** Writes values as INI text. */
+/** Formats values as INI text. */
 export function iniText(values: SettingsValues): string {
   return Object.entries(values)
     .map(([section, keys]) => {
@@ -67,7 +67,7 @@
     .join('\n');
 }
 
-function common(plan: ProcessPlan): SettingsValues {
+function commonSettings(plan: ProcessPlan): SettingsValues {
   return {
     process: { name: plan.name, 'failure-domain': plan.failureDomain },
     platform: {
--- a/packages/proofs/src/deployment/stand-ins-process.ts
+++ b/packages/proofs/src/deployment/stand-ins-process.ts
@@ -1,4 +1,4 @@
-/** Platform, engine hosts and plain services as one process, so that a test can suspend all of them at once. */
+/** Runs platform, engine hosts and plain services as one process, so that a test can suspend them all at once. */
 import { mkdtempSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
@@ -10,33 +10,33 @@
 import { Child } from './child.js';
 import { freeAddresses } from './ports.js';
 
-/** What the process plays. */
+/** The hosts and services that the process simulates. */
 export type StandInsOptions = {
   readonly engineHosts: readonly string[];
   /** Number of service runners. */
   readonly services: number;
-  /** The platform's list of hosts, from the address of each engine host. */
+  /** Builds the platform's list of hosts from the address of each engine host. */
   readonly listHosts: (addressOf: (host: string) => string) => readonly Host[];
 };
 
-/** The running process. */
+/** The running stand-ins process and the addresses that it listens on. */
 export type StandInsProcess = {
   readonly child: Child;
   /** `ip:port` of the platform. */
   readonly platform: string;
   /** `ip:port` of each service runner. */
   readonly services: readonly string[];
-  /** The requests that engine hosts have run. */
+  /** Fetches the requests that engine hosts have run. */
   readonly runs: () => Promise<readonly RunRecord[]>;
 };
 
-const LIMITS = {
+const PLATFORM_LIMITS = {
   'writes-per-second': 1_000,
   'reads-per-second': 10_000,
   'weight-gigabytes-per-second': 10,
 };
 
-/** Starts the process. */
+/** Writes the list of hosts, starts the process and waits until it is started. */
 export async function startStandInsProcess(options: StandInsOptions): Promise<StandInsProcess> {
   const { engineHosts, listHosts } = options;
   const [platform, control, ...rest] = await freeAddresses(
@@ -48,7 +48,7 @@
   const hosts = listHosts(host => `http://${addresses.get(host) ?? ''}`);
   writeFileSync(hostsFile, JSON.stringify(hosts));
   const child = new Child('stand-ins', 'stand-ins', {
-    platform: { listen: platform, 'hosts-file': hostsFile, ...LIMITS },
+    platform: { listen: platform, 'hosts-file': hostsFile, ...PLATFORM_LIMITS },
     engine: {
       listen: control,
       'platform-url': `http://${platform}`,
--- a/packages/proofs/src/index.ts
+++ b/packages/proofs/src/index.ts
@@ -1,4 +1,4 @@
-/** Proofs of the promises, and the deployments on loopback that they run on. */
+/** Proofs of the system's guarantees, and the loopback deployments that they run on. */
 export * from './deployment/caller.js';
 export * from './deployment/deployment.js';
 export * from './deployment/profile.js';
--- a/packages/proofs/src/suspensions/suspension-cases.ts
+++ b/packages/proofs/src/suspensions/suspension-cases.ts
@@ -1,102 +1,116 @@
-/** Which processes are suspended by signals, for how long, and what an operator does meanwhile. */
+/** Suspension cases: which processes are suspended by signals, for how long, and what an operator does meanwhile. */
 import type { Child } from '../deployment/child.js';
 import type { Deployment } from '../deployment/deployment.js';
 
-/** What an operator does in each round. */
+/** The operator's action in each round, before the suspension. */
 export type OperatorAction = 'none' | 'drains a host' | 'upgrades the model';
 
-/** One way of suspending processes, repeated for some rounds. */
+/** One way to suspend processes; a session repeats it for several rounds. */
 export type SuspensionCase = {
   readonly name: string;
-  /** The processes of a round; `draw` is uniform in [0, 1). */
+  /** Selects the processes that a round suspends; `draw` returns a uniform random number in [0, 1). */
   readonly subjects: (deployment: Deployment, draw: () => number) => readonly Child[];
+  /** Shortest suspension. */
   readonly leastMs: number;
+  /** Longest suspension. */
   readonly mostMs: number;
-  /** Whether all subjects are suspended for the same time, or each for a time of its own. */
+  /** Whether all processes are suspended for the same time, or each for its own random time. */
   readonly together: boolean;
   readonly operator: OperatorAction;
 };
 
-/** All cases by name. */
+/** All cases; their names select them on the command line and in tests. */
 export const SUSPENSION_CASES: readonly SuspensionCase[] = [
-  { name: 'one entry process', subjects: oneEntry, leastMs: 300, mostMs: 1_400, ...alone() },
-  { name: 'all controllers', subjects: controllers, leastMs: 500, mostMs: 2_500, ...alone() },
-  { name: 'all entry processes', subjects: entries, leastMs: 500, mostMs: 2_500, ...alone() },
+  {
+    name: 'one entry process',
+    subjects: oneEntryProcess,
+    leastMs: 300,
+    mostMs: 1_400,
+    ...sameTime(),
+  },
+  { name: 'all controllers', subjects: controllers, leastMs: 500, mostMs: 2_500, ...sameTime() },
+  {
+    name: 'all entry processes',
+    subjects: entryProcesses,
+    leastMs: 500,
+    mostMs: 2_500,
+    ...sameTime(),
+  },
   {
     name: 'all entry processes, long',
-    subjects: entries,
+    subjects: entryProcesses,
     leastMs: 2_000,
     mostMs: 4_000,
-    ...alone(),
+    ...sameTime(),
   },
   {
     name: 'entry processes, each for its own time',
-    subjects: entries,
+    subjects: entryProcesses,
     leastMs: 300,
     mostMs: 2_500,
-    ...apart(),
+    ...ownTimes(),
   },
-  { name: 'engines and platform', subjects: standIns, leastMs: 600, mostMs: 1_400, ...alone() },
+  { name: 'engines and platform', subjects: standIns, leastMs: 600, mostMs: 1_400, ...sameTime() },
   {
     name: 'engines and platform, long',
     subjects: standIns,
     leastMs: 1_400,
     mostMs: 2_400,
-    ...alone(),
+    ...sameTime(),
   },
   {
     name: 'everything, each for its own time',
-    subjects: everything,
+    subjects: allProcesses,
     leastMs: 300,
     mostMs: 1_400,
-    ...apart(),
+    ...ownTimes(),
   },
   {
     name: 'one entry process, drain',
-    subjects: oneEntry,
+    subjects: oneEntryProcess,
     leastMs: 500,
     mostMs: 2_500,
-    ...during('drains a host'),
+    ...withOperator('drains a host'),
   },
   {
     name: 'engines and platform, drain',
     subjects: standIns,
     leastMs: 600,
     mostMs: 1_400,
-    ...during('drains a host'),
+    ...withOperator('drains a host'),
   },
   {
     name: 'everything, drain',
-    subjects: everything,
+    subjects: allProcesses,
     leastMs: 300,
     mostMs: 1_400,
-    ...during('drains a host', false),
+    ...withOperator('drains a host', false),
   },
   {
     name: 'one entry process, upgrade',
-    subjects: oneEntry,
+    subjects: oneEntryProcess,
     leastMs: 500,
     mostMs: 2_500,
-    ...during('upgrades the model'),
+    ...withOperator('upgrades the model'),
   },
   {
     name: 'engines and platform, upgrade',
     subjects: standIns,
     leastMs: 600,
     mostMs: 1_400,
-    ...during('upgrades the model'),
+    ...withOperator('upgrades the model'),
   },
 ];
 
-function alone(): Pick<SuspensionCase, 'together' | 'operator'> {
+function sameTime(): Pick<SuspensionCase, 'together' | 'operator'> {
   return { together: true, operator: 'none' };
 }
 
-function apart(): Pick<SuspensionCase, 'together' | 'operator'> {
+function ownTimes(): Pick<SuspensionCase, 'together' | 'operator'> {
   return { together: false, operator: 'none' };
 }
 
-function during(
+function withOperator(
   operator: OperatorAction,
   together = true,
 ): Pick<SuspensionCase, 'together' | 'operator'> {
@@ -107,12 +121,12 @@
   return deployment.controllers.map(({ child }) => child);
 }
 
-function entries(deployment: Deployment): readonly Child[] {
+function entryProcesses(deployment: Deployment): readonly Child[] {
   return [...deployment.controllers, ...deployment.gateways].map(({ child }) => child);
 }
 
-function oneEntry(deployment: Deployment, draw: () => number): readonly Child[] {
-  const all = entries(deployment);
+function oneEntryProcess(deployment: Deployment, draw: () => number): readonly Child[] {
+  const all = entryProcesses(deployment);
   return all.slice(Math.floor(draw() * all.length)).slice(0, 1);
 }
 
@@ -120,6 +134,6 @@
   return deployment.standIns === undefined ? [] : [deployment.standIns.child];
 }
 
-function everything(deployment: Deployment): readonly Child[] {
-  return [...entries(deployment), ...standIns(deployment)];
+function allProcesses(deployment: Deployment): readonly Child[] {
+  return [...entryProcesses(deployment), ...standIns(deployment)];
 }
--- a/packages/proofs/src/suspensions/suspension-session.ts
+++ b/packages/proofs/src/suspensions/suspension-session.ts
@@ -1,4 +1,4 @@
-/** Suspends processes of a deployment under load, and tells which callers did not get their whole answer. */
+/** Suspends processes of a deployment under load, and reports the callers that did not get a complete answer. */
 import { sleep } from '@hingescale/runtime';
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
@@ -9,33 +9,34 @@
 import { breaches, callersIds, isOwnWholeAnswer, Load } from '../deployment/load.js';
 import type { SuspensionCase } from './suspension-cases.js';
 
-/** Options of a session. */
+/** Seed of the random choices, and number of rounds of suspensions. */
 export type SuspensionOptions = {
   readonly seed: number;
   readonly rounds: number;
 };
 
-/** How a session went. */
+/** Result of a session. */
 export type SuspensionReport = {
   readonly requests: number;
-  /** What callers got who did not get their whole answer. */
+  /** One line for each request without a complete answer: id, status, execution, problem. */
   readonly notWhole: readonly string[];
-  /** Broken promises. */
+  /** Requests whose answers broke a guarantee. */
   readonly breaches: readonly string[];
-  /** Warnings and group orders of the entry processes, in the order of each process. */
+  /** Log lines of all entry processes, process by process. */
   readonly lines: readonly (LogLine & { readonly process: string })[];
 };
 
 const GROUPS = 2;
 const HOSTS = 9;
 const CALLERS = 4;
+/** Tokens per request. */
 const TOKENS = 40;
-const LEAST_PAUSE_MS = 300;
-const MOST_PAUSE_MS = 900;
-/** Time between an operator's order and the first suspension after it. */
-const MOST_AFTER_ORDER_MS = 800;
-const SETTLED_WITHIN_MS = 30_000;
-/** The defaults of the settings, so that silences relate to them as in production. */
+const MIN_PAUSE_MS = 300;
+const MAX_PAUSE_MS = 900;
+/** Longest time between an operator's action and the suspension that follows it. */
+const MAX_DELAY_AFTER_ORDER_MS = 800;
+const READY_TIMEOUT_MS = 30_000;
+/** The default settings, so that suspensions have the same ratio to these times as in production. */
 const TIMING = {
   'heartbeat-ms': 250,
   'probe-ms': 250,
@@ -44,7 +45,7 @@
   'key-lease-ms': 6_000,
 };
 
-/** Runs one session. */
+/** Starts a deployment and a load, suspends processes for the given rounds and reports the answers. */
 export async function runSuspensions(
   suspension: SuspensionCase,
   { seed, rounds }: SuspensionOptions,
@@ -80,25 +81,25 @@
   const drained = `${deployment.domains[0]}-h${1 + Math.floor(draw() * HOSTS)}`;
   switch (suspension.operator) {
     case 'none':
-      await sleep(between(LEAST_PAUSE_MS, MOST_PAUSE_MS, draw));
+      await sleep(uniformBetween(MIN_PAUSE_MS, MAX_PAUSE_MS, draw));
       break;
     case 'drains a host':
       await setCordon(deployment, drained, true);
-      await sleep(draw() * MOST_AFTER_ORDER_MS);
+      await sleep(draw() * MAX_DELAY_AFTER_ORDER_MS);
       break;
     case 'upgrades the model':
       await deployment.apply({ version: String(round + 2) });
-      await sleep(draw() * MOST_AFTER_ORDER_MS);
+      await sleep(draw() * MAX_DELAY_AFTER_ORDER_MS);
       break;
   }
   const subjects = suspension.subjects(deployment, draw);
-  const sharedMs = between(suspension.leastMs, suspension.mostMs, draw);
+  const sharedMs = uniformBetween(suspension.leastMs, suspension.mostMs, draw);
   const times = subjects.map(() =>
-    suspension.together ? sharedMs : between(suspension.leastMs, suspension.mostMs, draw),
+    suspension.together ? sharedMs : uniformBetween(suspension.leastMs, suspension.mostMs, draw),
   );
   await Promise.all(subjects.map((child, index) => suspend(child, times[index])));
   if (suspension.operator !== 'none') {
-    await settled(deployment);
+    await groupsReady(deployment);
   }
   if (suspension.operator === 'drains a host') {
     await setCordon(deployment, drained, false);
@@ -111,10 +112,10 @@
   child.signal('SIGCONT');
 }
 
-// Only the controller that holds the lease takes the order.
+// Only the lease holder accepts the request, so it is sent to all controllers.
 async function setCordon(deployment: Deployment, host: string, cordoned: boolean): Promise<void> {
   const path = `/v1/hosts/${host}/drain`;
-  await eventually(`${host} is ${cordoned ? 'drained' : 'taken back'}`, async () => {
+  await eventually(`${host} is ${cordoned ? 'drained' : 'no longer drained'}`, async () => {
     const answers = await Promise.all(
       deployment.controllers.map(controller =>
         deployment.admin<{ status?: number }>(controller, path, cordoned ? 'PUT' : 'DELETE'),
@@ -124,7 +125,7 @@
   });
 }
 
-async function settled(deployment: Deployment): Promise<void> {
+async function groupsReady(deployment: Deployment): Promise<void> {
   await eventually(
     'all groups are ready',
     async () => {
@@ -136,10 +137,10 @@
           deployment.admin<{ groups: { state: string }[] }>(controller, '/v1/status'),
         ),
       );
-      const isWhole = ready.every(count => count >= GROUPS);
-      return isWhole && status.groups.every(({ state }) => state === 'ready');
+      const isReadyAtGateways = ready.every(count => count >= GROUPS);
+      return isReadyAtGateways && status.groups.every(({ state }) => state === 'ready');
     },
-    SETTLED_WITHIN_MS,
+    READY_TIMEOUT_MS,
   );
 }
 
@@ -164,6 +165,6 @@
   };
 }
 
-function between(least: number, most: number, draw: () => number): number {
-  return least + draw() * (most - least);
+function uniformBetween(min: number, max: number, draw: () => number): number {
+  return min + draw() * (max - min);
 }
--- a/packages/proofs/src/suspensions/suspensions.test.ts
+++ b/packages/proofs/src/suspensions/suspensions.test.ts
@@ -1,4 +1,4 @@
-/** Guards against sound groups refused as "not ready" because some process did not run for a moment. */
+/** Guards against requests refused as "not ready" for healthy replica groups because a process was suspended briefly. */
 import { expect } from 'chai';
 
 import { SUSPENSION_CASES } from './suspension-cases.js';
@@ -6,9 +6,9 @@
 
 const SEED = 1;
 const ROUNDS = 3;
-/** Two for each caller: fewer where all processes are suspended most of the time. */
-const LEAST_REQUESTS = 8;
-const TESTED = [
+/** Two for each caller; a low limit, as some cases suspend all processes most of the time. */
+const MIN_REQUESTS = 8;
+const TESTED_CASES = [
   'all controllers',
   'all entry processes',
   'engines and platform, long',
@@ -16,12 +16,12 @@
 ];
 
 describe('processes suspended by signals', () => {
-  for (const suspension of SUSPENSION_CASES.filter(({ name }) => TESTED.includes(name))) {
+  for (const suspension of SUSPENSION_CASES.filter(({ name }) => TESTED_CASES.includes(name))) {
     it(`${suspension.name}: every caller gets its whole answer`, async () => {
       const report = await runSuspensions(suspension, { seed: SEED, rounds: ROUNDS });
       expect(report.breaches).to.deep.equal([]);
       expect(report.notWhole).to.deep.equal([]);
-      expect(report.requests).to.be.at.least(LEAST_REQUESTS);
+      expect(report.requests).to.be.at.least(MIN_REQUESTS);
     });
   }
 });
