--- a/packages/bench/src/bin-capacity.ts
+++ b/packages/bench/src/bin-capacity.ts
@@ -1,4 +1,4 @@
-/** `npm run measure:capacity`: slopes of memory, processor time and messages, for docs/CAPACITY.md. */
+/** `npm run measure:capacity`: memory, CPU time and messages per host and gateway, for docs/CAPACITY.md. */
 import { KeyRecords } from '@hingescale/gateway';
 import type { PollReply, PollRequest } from '@hingescale/link';
 import { LINK_REQUESTS, LinkPool } from '@hingescale/link';
@@ -9,7 +9,7 @@
 
 const MEASURE_S = 5;
 const HEARTBEAT_MS = 250;
-/** The defaults of the settings. */
+/** The default values of the timing settings. */
 const TIMING = {
   'heartbeat-ms': HEARTBEAT_MS,
   'probe-ms': 250,
@@ -18,6 +18,7 @@
   'key-lease-ms': 6_000,
 };
 
+/** Rates per second, CPU in cores, memory in MB, and the bytes of one poll with its reply. */
 type Sample = {
   readonly name: string;
   readonly controllerCpu: number;
@@ -38,7 +39,7 @@
   samples.push(await measure(hosts, pollers));
 }
 print();
-keyMemory();
+measureKeyMemory();
 process.exit(0);
 
 async function measure(hosts: number, pollers: number): Promise<Sample> {
@@ -54,16 +55,16 @@
   const [gateway] = deployment.gateways;
   const stopPolling = startPollers(controller, pollers);
   await sleep(2_000);
-  const read = async (): Promise<number[]> =>
+  const readCounters = async (): Promise<number[]> =>
     Promise.all([
       deployment.metric(controller.admin, 'cpu_seconds'),
       deployment.metric(gateway.address, 'cpu_seconds'),
       deployment.platform.calls.reads + deployment.platform.calls.watches,
       deployment.platform.calls.writes,
     ]);
-  const before = await read();
+  const before = await readCounters();
   await sleep(MEASURE_S * 1000);
-  const after = await read();
+  const after = await readCounters();
   const rates = after.map((value, index) => (value - before[index]) / MEASURE_S);
   const sample: Sample = {
     name: `${hosts} hosts, ${groups} groups, ${pollers + 1} gateways`,
@@ -85,12 +86,12 @@
 
 function startPollers(controller: DeployedController, count: number): () => void {
   const timers = Array.from({ length: count }, (_unused, index) => {
-    const links = poolOf(`poller-${index}`);
+    const links = linkPoolOf(`poller-${index}`);
     const views: Record<string, string> = {};
     return setInterval(() => {
       void links
         .to(controller.link)
-        .request<PollReply>(LINK_REQUESTS.poll, pollOf(`poller-${index}`, views), 1_000)
+        .request<PollReply>(LINK_REQUESTS.poll, pollRequestOf(`poller-${index}`, views), 1_000)
         .then(
           reply => {
             reply.views.forEach(view => {
@@ -108,27 +109,27 @@
   };
 }
 
-// A reply in the steady state: the asker holds the view and the configuration already.
+// Size of a poll and its reply in the steady state: the poller already has the view and the configuration.
 async function replyBytes(controller: DeployedController): Promise<number> {
-  const links = poolOf('sizer');
+  const links = linkPoolOf('sizer');
   const views: Record<string, string> = {};
-  const ask = (): Promise<PollReply> =>
-    links.to(controller.link).request(LINK_REQUESTS.poll, pollOf('sizer', views), 1_000);
-  (await ask()).views.forEach(view => {
+  const poll = (): Promise<PollReply> =>
+    links.to(controller.link).request(LINK_REQUESTS.poll, pollRequestOf('sizer', views), 1_000);
+  (await poll()).views.forEach(view => {
     views[view.failureDomain] = view.version;
   });
-  const request = encode(pollOf('sizer', views)).length;
-  const reply = encode(await ask()).length;
+  const request = encode(pollRequestOf('sizer', views)).length;
+  const reply = encode(await poll()).length;
   links.close();
   return request + reply;
 }
 
-function poolOf(name: string): LinkPool {
+function linkPoolOf(name: string): LinkPool {
   const identity = { role: 'gateway', name, failureDomain: 'maroussi-hall' } as const;
   return new LinkPool({ key: LINK_KEY, identity });
 }
 
-function pollOf(instance: string, views: Record<string, string>): PollRequest {
+function pollRequestOf(instance: string, views: Record<string, string>): PollRequest {
   return {
     instance,
     address: '',
@@ -171,15 +172,15 @@
   );
 }
 
-function keyMemory(): void {
+function measureKeyMemory(): void {
   const count = 50_000;
   const records = new KeyRecords({ keepMs: 600_000, answerBytes: 1_000_000 });
   const before = process.memoryUsage().heapUsed;
-  for (let number = 0; number < count; number++) {
+  for (let index = 0; index < count; index++) {
     records.claim({
       workspace: 'workspace',
       key: newUuid(),
-      fingerprint: 'f'.repeat(64) + String(number),
+      fingerprint: 'f'.repeat(64) + String(index),
       claim: newUuid(),
       executor: 'gateway',
       deadlineMs: 60_000,
--- a/packages/bench/src/bin-groups.ts
+++ b/packages/bench/src/bin-groups.ts
@@ -1,4 +1,4 @@
-/** `npm run bench:groups`: what the group decision costs against the naive one and a bound. */
+/** `npm run bench:groups`: cost of the group decision, compared with the naive one and a lower bound. */
 import { decide } from '@hingescale/core';
 import yargs from 'yargs';
 import { hideBin } from 'yargs/helpers';
@@ -30,35 +30,46 @@
 
 const rows: Row[] = [];
 for (let seed = options.seed; seed < options.seed + options.seeds; seed++) {
-  const fleet = scenario(options.profile);
+  const fleetScenario = scenario(options.profile);
   const trace =
     options.trace === undefined
-      ? makeTrace(fleet.hosts, fleet.days, seed)
+      ? makeTrace(fleetScenario.hosts, fleetScenario.days, seed)
       : readTrace(options.trace);
-  const ours = new Fleet(fleet, decide).run(trace);
-  const naive = options.baseline ? new Fleet(fleet, decideNaively).run(trace) : undefined;
-  rows.push({ seed, events: trace.length, ours, naive, bound: lowerBound(fleet, trace) });
+  const ours = new Fleet(fleetScenario, decide).run(trace);
+  const naive = options.baseline ? new Fleet(fleetScenario, decideNaively).run(trace) : undefined;
+  rows.push({ seed, events: trace.length, ours, naive, bound: lowerBound(fleetScenario, trace) });
 }
 if (options.json) {
-  process.stdout.write(JSON.stringify(rows.map(withoutTimes), undefined, 2) + '\n');
+  process.stdout.write(JSON.stringify(rows.map(summarizeDurations), undefined, 2) + '\n');
 } else {
   print();
 }
 
-function withoutTimes(row: Row): object {
-  const strip = (result: FleetResult | undefined): object | undefined =>
+function summarizeDurations(row: Row): object {
+  const withPercentiles = (result: FleetResult | undefined): object | undefined =>
     result && {
       ...result,
       decisionMs: undefined,
       p50: percentile(result, 0.5),
       p99: percentile(result, 0.99),
     };
-  return { ...row, ours: strip(row.ours), naive: strip(row.naive) };
+  return { ...row, ours: withPercentiles(row.ours), naive: withPercentiles(row.naive) };
 }
 
 function print(): void {
-  const head = ['seed', 'events', 'who', 'cost', 'down share', 'stranded share', 'loads', 'moves'];
-  console.log([...head, 'decisions', 'p50 ms', 'p99 ms'].map(text => text.padStart(14)).join(''));
+  const columns = [
+    'seed',
+    'events',
+    'who',
+    'cost',
+    'down share',
+    'stranded share',
+    'loads',
+    'moves',
+  ];
+  console.log(
+    [...columns, 'decisions', 'p50 ms', 'p99 ms'].map(text => text.padStart(14)).join(''),
+  );
   for (const { seed, events, ours, naive, bound } of rows) {
     printRow(seed, events, 'ours', ours);
     if (naive !== undefined) {
@@ -66,10 +77,10 @@
       console.log(`${''.padStart(28)}${compare(ours.cost, naive.cost, bound)}`);
     }
   }
-  summarize();
+  printTotals();
 }
 
-// What lies above the bound is all that a decision can save.
+// A decision can save only the part of the cost that lies above the bound.
 function compare(ours: number, naive: number, bound: number): string {
   const excess = (ours - bound) / (naive - bound);
   return [
@@ -80,11 +91,11 @@
   ].join(', ');
 }
 
-function printRow(seed: number, events: number, who: string, result: FleetResult): void {
+function printRow(seed: number, events: number, decision: string, result: FleetResult): void {
   const cells = [
     String(seed),
     String(events),
-    who,
+    decision,
     result.cost.toFixed(0),
     (result.groupDowntime / result.replicaSeconds).toExponential(3),
     (result.stranded / result.acceleratorSeconds).toExponential(3),
@@ -97,10 +108,10 @@
   console.log(cells.map(cell => cell.padStart(14)).join(''));
 }
 
-function summarize(): void {
+function printTotals(): void {
   const compared = rows.filter(row => row.naive !== undefined);
-  const sum = (pick: (row: Row) => number): number =>
-    compared.reduce((total, row) => total + pick(row), 0);
+  const sum = (valueOf: (row: Row) => number): number =>
+    compared.reduce((total, row) => total + valueOf(row), 0);
   const ours = sum(row => row.ours.cost);
   const naive = sum(row => row.naive?.cost ?? 0);
   const bound = sum(row => row.bound);
--- a/packages/bench/src/bin-load.ts
+++ b/packages/bench/src/bin-load.ts
@@ -15,10 +15,16 @@
 const TOKEN_MS = 20;
 const TOKENS = 20;
 const PREFIX_BLOCKS = 12;
-/** Service levels of the letter. */
-const LEVELS = { firstTokenMs: 1_200, betweenTokensMs: 47 };
-/** Requests a second that the groups sustain, by slots and time per request. */
-const SUSTAINABLE = (GROUPS * SLOTS) / ((TOKENS * TOKEN_MS + 60) / 1000);
+const SLOWNESS = 8;
+const FLAP_MS = 900;
+/** The head is killed after 0.3 of the length of the load. */
+const KILL_AFTER_MS_PER_SECOND = 300;
+/** Service levels in ms from the project's brief. */
+const LATENCY_LIMITS = { firstTokenMs: 1_200, betweenTokensMs: 47 };
+/** Time of a request in ms besides its tokens. */
+const REQUEST_OVERHEAD_MS = 60;
+/** Requests per second that the groups can sustain, from their slots and the time per request. */
+const SUSTAINABLE_RATE = (GROUPS * SLOTS) / ((TOKENS * TOKEN_MS + REQUEST_OVERHEAD_MS) / 1000);
 
 const options = await yargs(hideBin(process.argv))
   .option('profile', { choices: ['acquiring', 'caudal'] as const, default: 'acquiring' as const })
@@ -70,34 +76,39 @@
 }
 
 async function flood(): Promise<void> {
-  const calm = evenRates(0.6);
-  const flooded = [calm[0] * 10, ...calm.slice(1)];
-  const others: number[] = [];
+  const baseRates = evenRates(0.6);
+  const flooded = [baseRates[0] * 10, ...baseRates.slice(1)];
+  const otherShares: number[] = [];
   for (const [name, rates] of [
-    ['calm', calm],
+    ['calm', baseRates],
     ['flooded', flooded],
   ] as const) {
     const result = await withDeployment('expected', deployment => load(deployment, rates));
     print(name, result);
     const share = result.goodByWorkspace.map((good, index) => good / result.sentByWorkspace[index]);
     console.log(`  good share by workspace: ${share.map(value => value.toFixed(3)).join(', ')}`);
-    others.push(sum(result.goodByWorkspace.slice(1)) / sum(result.sentByWorkspace.slice(1)));
+    otherShares.push(sum(result.goodByWorkspace.slice(1)) / sum(result.sentByWorkspace.slice(1)));
   }
-  console.log(`goodput of the others, flooded/calm: ${(others[1] / others[0]).toFixed(3)}`);
+  console.log(
+    `goodput of the others, flooded/calm: ${(otherShares[1] / otherShares[0]).toFixed(3)}`,
+  );
 }
 
 async function faults(): Promise<void> {
   const healthy = await withDeployment('expected', deployment => load(deployment, evenRates(0.5)));
   print('healthy', healthy);
-  const leader = `${profile.failureDomains[0]}-h1`;
+  const head = `${profile.failureDomains[0]}-h1`;
   const slow = await withDeployment('expected', deployment => {
-    deployment.engine.host(leader).setFaults({ slowness: 8 });
+    deployment.engine.host(head).setFaults({ slowness: SLOWNESS });
     return load(deployment, evenRates(0.5));
   });
   print('one group 8 times slower', slow);
   const dead = await withDeployment('expected', async deployment => {
     const running = load(deployment, evenRates(0.5));
-    setTimeout(() => void deployment.engine.host(leader).kill(), options.seconds * 300);
+    setTimeout(
+      () => void deployment.engine.host(head).kill(),
+      options.seconds * KILL_AFTER_MS_PER_SECOND,
+    );
     return running;
   });
   print('one group dies', dead);
@@ -107,7 +118,7 @@
     const timer = setInterval(() => {
       frozen = !frozen;
       host.setFaults({ frozen });
-    }, 900);
+    }, FLAP_MS);
     const result = await load(deployment, evenRates(0.5));
     clearInterval(timer);
     return result;
@@ -115,7 +126,7 @@
   print('one host flaps', flapping);
 }
 
-// The engines take requests without a gateway too; they are told group and epoch.
+// Engines also accept requests that do not pass a gateway, if the headers name group and epoch.
 async function overhead(): Promise<void> {
   const rates = evenRates(0.3);
   await withDeployment('expected', async deployment => {
@@ -125,7 +136,7 @@
     const cpu = (await deployment.metric(gateway.address, 'cpu_seconds')) - before;
     const rss = await deployment.metric(gateway.address, 'resident_bytes');
     print('through one gateway', through);
-    const direct = await runLoad(directTarget(deployment), arrivals(rates), LEVELS);
+    const direct = await runLoad(directTarget(deployment), arrivals(rates), LATENCY_LIMITS);
     print('direct', direct);
     const added = through.firstToken.quantile(0.5) - direct.firstToken.quantile(0.5);
     console.log(
@@ -136,18 +147,18 @@
 }
 
 function directTarget(deployment: Deployment): LoadTarget {
-  const leaders = [...deployment.engine.addresses.keys()]
+  const heads = [...deployment.engine.addresses.keys()]
     .map(id => deployment.engine.host(id))
-    .filter(played => played.host.leading);
-  let turn = 0;
+    .filter(host => host.host.leading);
+  let sent = 0;
   return {
     ...target(deployment),
-    addresses: leaders.map(leader => leader.address.replace('http://', '')),
+    addresses: heads.map(head => head.address.replace('http://', '')),
     headers: () => {
-      const { group, epoch } = leaders[turn % GROUPS].host.membership;
-      turn += 1;
+      const { group, epoch } = heads[sent % GROUPS].host.membership;
+      sent += 1;
       return {
-        'hingescale-request-id': `direct-${turn}`,
+        'hingescale-request-id': `direct-${sent}`,
         'hingescale-group': group ?? '',
         'hingescale-epoch': String(epoch),
       };
@@ -178,9 +189,9 @@
 function load(
   deployment: Deployment,
   rates: readonly number[],
-  change: Partial<LoadTarget> = {},
+  overrides: Partial<LoadTarget> = {},
 ): Promise<LoadResult> {
-  return runLoad({ ...target(deployment), ...change }, arrivals(rates), LEVELS);
+  return runLoad({ ...target(deployment), ...overrides }, arrivals(rates), LATENCY_LIMITS);
 }
 
 function target(deployment: Deployment): LoadTarget {
@@ -188,7 +199,7 @@
     addresses: deployment.gateways.map(gateway => gateway.address),
     model: profile.model,
     workspaces: profile.workspaces,
-    deadlineMs: LEVELS.firstTokenMs,
+    deadlineMs: LATENCY_LIMITS.firstTokenMs,
   };
 }
 
@@ -205,7 +216,7 @@
 }
 
 function evenRates(factor: number): number[] {
-  return profile.workspaces.map(() => (SUSTAINABLE * factor) / profile.workspaces.length);
+  return profile.workspaces.map(() => (SUSTAINABLE_RATE * factor) / profile.workspaces.length);
 }
 
 function print(name: string, result: LoadResult): void {
--- a/packages/bench/src/days/disruptions.ts
+++ b/packages/bench/src/days/disruptions.ts
@@ -1,11 +1,11 @@
-/** Kinds of disruption that a day may hold, as the users' bench names them, with usual strengths. */
+/** Kinds of disruption for generated days, in the terms of the users' bench, with usual strengths. */
 
-/** One kind: a line of a day without its time. */
+/** One kind of disruption: an entry of a day file without its time. */
 export type DisruptionKind = {
-  /** Planned work stands apart from faults in a day. */
+  /** List of the day file that holds the entry: planned work or faults. */
   readonly list: 'plan' | 'faults';
   readonly kind: string;
-  /** Further fields as they are written in a day. */
+  /** Further fields of the entry, in the syntax of a day file. */
   readonly fields: string;
 };
 
@@ -17,7 +17,7 @@
   return { list: 'faults', kind, fields };
 }
 
-/** Kinds that days of the project's own draw from, those first that site files never draw. */
+/** Kinds that generated days draw from; those that site files never use come first. */
 export const DISRUPTION_KINDS: readonly DisruptionKind[] = [
   fault('node_freeze', 'share = 0.2, for_s = 3.0'),
   fault('node_freeze', 'count = 1, for_s = 4.0, how = "leader"'),
--- a/packages/bench/src/days/own-day.test.ts
+++ b/packages/bench/src/days/own-day.test.ts
@@ -18,8 +18,8 @@
 name = "other"
 `;
 
-describe('days of the project', () => {
-  it('are the same for a seed, and keep the frame of the first day', () => {
+describe('generated days', () => {
+  it('are the same for the same seed, and keep the frame of the first day', () => {
     const day = ownDay(SITE, 7);
     expect(day).to.equal(ownDay(SITE, 7));
     expect(day).not.to.equal(ownDay(SITE, 8));
--- a/packages/bench/src/days/own-day.ts
+++ b/packages/bench/src/days/own-day.ts
@@ -1,19 +1,20 @@
-/** Makes a day of the project's own from a site file and a seed. Pure. */
+/** Generates a test day from a site file and a seed. Without side effects. */
 import { uniformInt } from 'pure-rand/distribution/uniformInt';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 
 import type { DisruptionKind } from './disruptions.js';
 import { DISRUPTION_KINDS } from './disruptions.js';
 
-/** Disruptions of one day; kinds are drawn in pairs, and each of a pair comes twice. */
+/** A day has two pairs of disruption kinds, and each kind occurs twice. */
 const PAIRS = 2;
-const TIMES = 2;
-const LENGTH_TENTHS = 340;
-const TENTHS = 10;
+const TIMES_PER_KIND = 2;
+/** Latest time of a disruption, in tenths of a second. */
+const DAY_LENGTH_TENTHS = 340;
+const TENTHS_PER_SECOND = 10;
 
 /**
- * The text of a day: the frame and traffic of the site's first day, and disruptions drawn from
- * `seed`, some at its very start and end.
+ * Returns the text of a day: the frame and traffic of the site's first day, with disruptions drawn
+ * from `seed` over the whole day, its very start and end included.
  */
 export function ownDay(siteText: string, seed: number): string {
   const frame = firstDay(siteText);
@@ -25,8 +26,8 @@
   }
   const lines = { plan: [] as string[], faults: [] as string[] };
   for (const kind of kinds) {
-    for (let time = 0; time < TIMES; time++) {
-      const at = draw(0, LENGTH_TENTHS) / TENTHS;
+    for (let time = 0; time < TIMES_PER_KIND; time++) {
+      const at = draw(0, DAY_LENGTH_TENTHS) / TENTHS_PER_SECOND;
       lines[kind.list].push(`  { at = ${at}, kind = "${kind.kind}", ${kind.fields} },`);
     }
   }
@@ -37,11 +38,11 @@
     .replace(/^faults = \[\n/m, `faults = [\n${lines.faults.join('\n')}\n`);
 }
 
-// The day's lines as they stand in the site file, without the next day.
+// Returns the lines of the first day of the site file, without the next day.
 function firstDay(siteText: string): string {
   const [, first] = siteText.split(/^\[\[day\]\]$/m);
   if (first === undefined) {
-    throw new Error('the site file holds no day');
+    throw new Error('the site file has no [[day]] section');
   }
   return `[[day]]${first}`;
 }
--- a/packages/bench/src/groups/bound.ts
+++ b/packages/bench/src/groups/bound.ts
@@ -1,23 +1,26 @@
 /**
- * An offline lower bound: at every moment the cheapest set of replicas that the hosts then alive
- * could hold, with loads, drains and detection taking no time. No decision can cost less.
+ * Offline lower bound of the cost: at every moment the cheapest set of replicas that the hosts
+ * alive at that time can hold, with loads, drains and detection taking no time. No decision can
+ * cost less.
  */
 import type { Scenario } from './scenario.js';
 import type { TraceEvent } from './trace.js';
 
+const DAY_S = 86_400;
+
 /** Numbers of replicas of each model, in the order of the configuration. */
 type Counts = readonly number[];
 
-/** Cost that not even hindsight avoids. */
+/** Cost that remains even with full knowledge of the trace. */
 export function lowerBound(scenario: Scenario, trace: readonly TraceEvent[]): number {
   const down = new Set<string>();
-  const known = new Map<string, number>();
-  const endS = scenario.days * 86_400;
+  const rates = new Map<string, number>();
+  const endS = scenario.days * DAY_S;
   let cost = 0;
   let last = 0;
   for (const event of [...trace, { at: endS, kind: 'resume', host: '' }]) {
     const at = Math.min(event.at, endS);
-    cost += knownRate(scenario, down, known) * (at - last);
+    cost += cachedRate(scenario, down, rates) * (at - last);
     last = at;
     if (event.kind === 'resume' || event.kind === 'return') {
       down.delete(event.host);
@@ -28,11 +31,11 @@
   return cost;
 }
 
-// The rate depends only on how many hosts each fabric domain has.
-function knownRate(
+// Cached, since the rate depends only on the number of live hosts in each fabric domain.
+function cachedRate(
   scenario: Scenario,
   down: ReadonlySet<string>,
-  known: Map<string, number>,
+  rates: Map<string, number>,
 ): number {
   const alive = new Map<string, number>();
   for (const host of scenario.hosts) {
@@ -40,23 +43,23 @@
     alive.set(host.fabricDomain, count + (down.has(host.id) ? 0 : 1));
   }
   const key = [...alive.values()].join();
-  let rate = known.get(key);
+  let rate = rates.get(key);
   if (rate === undefined) {
     rate = cheapestRate(scenario, [...alive.values()]);
-    known.set(key, rate);
+    rates.set(key, rate);
   }
   return rate;
 }
 
 function cheapestRate(scenario: Scenario, fabrics: readonly number[]): number {
   const { deployment, models } = scenario.configuration;
-  const list = [...models.values()];
+  const modelList = [...models.values()];
   const total = fabrics.reduce((sum, hosts) => sum + hosts, 0);
   let best = Infinity;
-  for (const counts of reachable(scenario, fabrics)) {
+  for (const counts of reachableCounts(scenario, fabrics)) {
     let missing = 0;
     let used = 0;
-    list.forEach((model, index) => {
+    modelList.forEach((model, index) => {
       missing += model.importance * (model.replicas - counts[index]);
       used += model.hosts * counts[index];
     });
@@ -67,18 +70,18 @@
   return best;
 }
 
-/** All numbers of replicas that some placement reaches. */
-function reachable(scenario: Scenario, fabrics: readonly number[]): Counts[] {
-  const list = [...scenario.configuration.models.values()];
-  let sums = new Map<string, Counts>([['', list.map(() => 0)]]);
+/** All combinations of replica counts that some placement reaches, capped at the wanted counts. */
+function reachableCounts(scenario: Scenario, fabrics: readonly number[]): Counts[] {
+  const modelList = [...scenario.configuration.models.values()];
+  let sums = new Map<string, Counts>([['', modelList.map(() => 0)]]);
   for (const hosts of fabrics) {
     const next = new Map<string, Counts>();
     for (const base of sums.values()) {
       for (const added of packings(
-        list.map(model => model.hosts),
+        modelList.map(model => model.hosts),
         hosts,
       )) {
-        const counts = base.map((count, i) => Math.min(list[i].replicas, count + added[i]));
+        const counts = base.map((count, i) => Math.min(modelList[i].replicas, count + added[i]));
         next.set(counts.join(), counts);
       }
     }
--- a/packages/bench/src/groups/decision.test.ts
+++ b/packages/bench/src/groups/decision.test.ts
@@ -1,4 +1,4 @@
-/** The group decision on small fakes: legality, convergence, crashes, and golden sessions. */
+/** Tests of the group decision on a simulated fleet: legality, convergence, crashes, golden sessions. */
 import type { DecisionInput, Group, LedgerChange } from '@hingescale/core';
 import { applyChanges, decide, emptyLedger, reconcile } from '@hingescale/core';
 import { expectGolden } from '@hingescale/proofs';
@@ -12,56 +12,56 @@
 import { scenario } from './scenario.js';
 import { makeTrace } from './trace.js';
 
-const USERS: readonly ScenarioName[] = ['acquiring', 'caudal'];
+const USER_SCENARIOS: readonly ScenarioName[] = ['acquiring', 'caudal'];
 const PROPERTY = { seed: 20261202, numRuns: 12 };
 
 describe('group decision', () => {
-  for (const name of USERS) {
-    for (const [who, decision] of [
+  for (const name of USER_SCENARIOS) {
+    for (const [label, decision] of [
       ['ours', decide],
       ['naive', decideNaively],
     ] as const) {
-      it(`${name}, ${who}: every order is legal, whatever happens`, () => {
+      it(`${name}, ${label}: every order is legal, whatever events the trace holds`, () => {
         fc.assert(
           fc.property(fc.nat(10_000), seed => {
-            const fleet = shortened(name, 2);
-            const played = new Fleet(fleet, decision, {
+            const fleet = shortScenario(name, 2);
+            const simulated = new Fleet(fleet, decision, {
               onOrder: order => {
                 expectInFabric(fleet, order);
               },
             });
-            // Each order is applied by the state machine, and each ledger is checked after it.
-            played.run(makeTrace(fleet.hosts, fleet.days, seed));
+            // The fleet applies each order through the state machine and checks the ledger after it.
+            simulated.run(makeTrace(fleet.hosts, fleet.days, seed));
           }),
           PROPERTY,
         );
       });
     }
 
-    it(`${name}: a fleet that is whole again gets no orders and lacks no replica`, () => {
+    it(`${name}: a recovered fleet gets no orders and has all its replicas`, () => {
       fc.assert(
         fc.property(fc.nat(10_000), seed => {
-          const played = playedOut(name, decide, seed);
-          expect(played.ordersWhenQuiet()).to.deep.equal([]);
-          expectAllReady(name, played);
+          const simulated = runAndRecover(name, decide, seed);
+          expect(simulated.ordersWhenQuiet()).to.deep.equal([]);
+          expectAllReady(name, simulated);
         }),
         PROPERTY,
       );
     });
 
-    it(`${name}: killed at any step, the next holder goes on from the ledger alone`, () => {
+    it(`${name}: after a crash at any step, the next lease holder continues from the ledger alone`, () => {
       fc.assert(
         fc.property(fc.nat(10_000), fc.infiniteStream(fc.nat(3)), (seed, dice) => {
           const crashes = (): boolean => dice.next().value === 0;
-          const played = playedOut(name, decide, seed, crashes);
-          expectAllReady(name, played);
+          const simulated = runAndRecover(name, decide, seed, crashes);
+          expectAllReady(name, simulated);
         }),
         PROPERTY,
       );
     });
 
-    it(`${name}: golden session of a day`, () => {
-      const fleet = shortened(name, 3);
+    it(`${name}: golden session of three days`, () => {
+      const fleet = shortScenario(name, 3);
       const lines: string[] = [];
       const onOrder = (order: LedgerChange, at: number): void => {
         lines.push(describeOrder(order, at));
@@ -71,37 +71,37 @@
     });
   }
 
-  it('members that were not heard yet are not missing', () => {
+  it('members that have not reported yet are not missing', () => {
     const { input, group } = readyGroup(undefined);
     expect(reconcile(input, input.ledgers[0])).to.deep.equal([]);
     expect(group.state).to.equal('ready');
   });
 
-  it('members that fell silent are missing', () => {
+  it('members that stopped answering are missing', () => {
     const { input } = readyGroup(2_000);
     expect(reconcile(input, input.ledgers[0])).to.have.nested.property('[0].state', 'suspended');
   });
 });
 
-function shortened(name: ScenarioName, days: number): Scenario {
+function shortScenario(name: ScenarioName, days: number): Scenario {
   return { ...scenario(name), days };
 }
 
-function playedOut(
+function runAndRecover(
   name: ScenarioName,
   decision: Decide,
   seed: number,
   crashes?: () => boolean,
 ): Fleet {
-  const fleet = shortened(name, 1);
-  const played = new Fleet(fleet, decision, { crashes });
-  played.run(makeTrace(fleet.hosts, fleet.days, seed));
-  played.calmDown();
-  return played;
+  const fleet = shortScenario(name, 1);
+  const simulated = new Fleet(fleet, decision, { crashes });
+  simulated.run(makeTrace(fleet.hosts, fleet.days, seed));
+  simulated.calmDown();
+  return simulated;
 }
 
-function expectAllReady(name: ScenarioName, played: Fleet): void {
-  const groups = played.ledgers().flatMap(ledger => ledger.groups);
+function expectAllReady(name: ScenarioName, simulated: Fleet): void {
+  const groups = simulated.ledgers().flatMap(ledger => ledger.groups);
   expect(groups.map(group => group.state)).to.deep.equal(groups.map(() => 'ready'));
   for (const [model, { replicas }] of scenario(name).configuration.models) {
     expect(groups.filter(group => group.content.model === model)).to.have.length(replicas);
@@ -121,8 +121,8 @@
 }
 
 function describeOrder(order: LedgerChange, at: number): string {
-  const what = order.kind === 'move' ? `move to ${order.state}` : order.kind;
-  return `${at.toFixed(1).padStart(9)} ${order.group || order.fabricDomain}: ${what}: ${order.reason}`;
+  const change = order.kind === 'move' ? `move to ${order.state}` : order.kind;
+  return `${at.toFixed(1).padStart(9)} ${order.group || order.fabricDomain}: ${change}: ${order.reason}`;
 }
 
 function readyGroup(silentMs: number | undefined): { input: DecisionInput; group: Group } {
@@ -142,13 +142,13 @@
     isMissing: (silentMs ?? 0) > 0,
     mayReturn: false,
   };
-  const facts = hosts
+  const snapshots = hosts
     .slice(0, 4)
     .map(host => [host.id, { host, report: undefined, ...silence, losses: 0 }] as const);
   const input: DecisionInput = {
     failureDomain: first.failureDomain,
     configuration,
-    hosts: new Map(facts),
+    hosts: new Map(snapshots),
     ledgers: [ledger],
     ages: new Map(),
     times: { certificateMs: 1_500, drainMs: 1_000 },
--- a/packages/bench/src/groups/fleet-meter.ts
+++ b/packages/bench/src/groups/fleet-meter.ts
@@ -3,37 +3,37 @@
 
 import type { Scenario } from './scenario.js';
 
-/** What a run cost. */
+/** Costs and counts of one simulated run. */
 export type FleetResult = {
-  /** Seconds of missing replicas, each weighed by its importance. */
+  /** Seconds of missing replicas, each weighted by the importance of its model. */
   readonly weightedDowntime: number;
   /** Seconds of missing replicas. */
   readonly groupDowntime: number;
-  /** Accelerator-seconds idle because a wanted replica was not complete. */
+  /** Accelerator-seconds spent idle while a wanted replica was missing. */
   readonly stranded: number;
   readonly cost: number;
   readonly loads: number;
   readonly moves: number;
   readonly decisions: number;
-  /** Milliseconds of each decision, sorted. */
+  /** Duration of each decision in ms, in ascending order. */
   readonly decisionMs: readonly number[];
-  /** Replica-seconds and accelerator-seconds of the whole run, for shares. */
+  /** Total replica-seconds and accelerator-seconds of the run, the denominators of the shares. */
   readonly replicaSeconds: number;
   readonly acceleratorSeconds: number;
 };
 
-/** A fake host on the virtual clock. */
+/** A simulated host; times are seconds on the virtual clock. */
 export type FakeHost = {
   host: Host;
   alive: boolean;
   silentSince: number;
   report: HostStateReport;
   losses: number[];
-  /** Gigabytes that are still to be read. */
+  /** Gigabytes of weights that the host has yet to load. */
   left: number;
 };
 
-/** Adds up costs over virtual time. */
+/** Accumulates downtime, idle accelerators and counts over virtual time. */
 export class FleetMeter {
   loads = 0;
   moves = 0;
@@ -46,36 +46,38 @@
     this.#hosts = hosts;
   }
 
-  /** Counts what a stretch of time costs while the ledgers stand as they do. */
+  /** Adds the cost of an interval, in seconds, during which the ledgers do not change. */
   pass(ledgers: readonly Ledger[], seconds: number): void {
     const { configuration } = this.#scenario;
     const groups = ledgers.flatMap(ledger => ledger.groups);
-    let missingAny = false;
+    let hasMissing = false;
     for (const [name, model] of configuration.models) {
-      const up = groups.filter(group => group.content.model === name && this.serves(group)).length;
-      const missing = Math.max(0, model.replicas - up);
-      missingAny ||= missing > 0;
+      const serving = groups.filter(
+        group => group.content.model === name && this.serves(group),
+      ).length;
+      const missing = Math.max(0, model.replicas - serving);
+      hasMissing ||= missing > 0;
       this.#measured.downtime += missing * seconds;
       this.#measured.weighted += missing * model.importance * seconds;
     }
-    if (missingAny) {
+    if (hasMissing) {
       this.#measured.stranded += this.#idleAccelerators(groups) * seconds;
     }
   }
 
-  /** True when a group takes requests: ready, with all members alive. */
+  /** Whether a group can serve requests: it is ready and all its members are alive. */
   serves(group: Group): boolean {
     return (
       group.state === 'ready' && group.members.every(id => this.#hosts.get(id)?.alive === true)
     );
   }
 
-  // Idle: alive, not reclaimed, and neither in a serving group nor loading for one.
+  // Idle hosts are live, not leaving, and not in a group that serves, loads or drains.
   #idleAccelerators(groups: readonly Group[]): number {
     const busy = new Set<string>();
     for (const group of groups) {
-      const working = group.state === 'loading' || group.state === 'draining' || this.serves(group);
-      if (working) {
+      const isBusy = group.state === 'loading' || group.state === 'draining' || this.serves(group);
+      if (isBusy) {
         group.members.forEach(member => busy.add(member));
       }
     }
@@ -88,7 +90,7 @@
     return idle;
   }
 
-  /** What a run of so many seconds has cost. */
+  /** Returns the totals of a run that lasted the given number of seconds. */
   result(seconds: number, decisionMs: readonly number[]): FleetResult {
     const { deployment, models } = this.#scenario.configuration;
     const { loads, moves } = this;
--- a/packages/bench/src/groups/fleet.ts
+++ b/packages/bench/src/groups/fleet.ts
@@ -1,4 +1,4 @@
-/** Small fakes of hosts, weight store and ledgers on a virtual clock, driven by a trace. */
+/** Simulates hosts, the weight store and ledgers on a virtual clock, driven by a trace. */
 import type {
   DecisionInput,
   Group,
@@ -21,46 +21,56 @@
 import type { Scenario } from './scenario.js';
 import type { TraceEvent } from './trace.js';
 
-/** A decision under test. */
+/** A decision function under test: returns the ledger changes for its input. */
 export type Decide = (input: DecisionInput) => LedgerChange[];
 
-/** Options of a fleet. */
+/** Optional hooks of a simulated fleet. */
 export type FleetOptions = {
-  /** Asked after each ledger write; true kills the controller before it sends its orders. */
+  /** Called after ledger writes; returning true crashes the controller before it sends its orders. */
   readonly crashes?: () => boolean;
-  /** Gets every order with the time in seconds since the trace began. */
+  /** Called for every ledger change, with the time in seconds since the start of the trace. */
   readonly onOrder?: (order: LedgerChange, at: number) => void;
 };
 
 const TIMES = { certificateMs: 1_500, drainMs: 120_000 };
 const SILENT_AFTER_S = 1.5;
+/** Interval between controller runs while the fleet is not idle. */
 const TICK_S = 5;
-const SETTLE_S = 10;
-const CALM_S = 7_200;
-const DRAIN_WORK_S = 15;
-const LOSS_MEMORY_S = 600;
+/** The fleet counts as idle only this long after the last trace event. */
+const IDLE_AFTER_S = 10;
+const INITIAL_FORMATION_S = 7_200;
+const RECOVERY_S = 7_200;
+/** Time that the head of a draining group still reports a running request. */
+const DRAIN_REQUEST_S = 15;
+/** Losses of a host older than this are not passed to the decision. */
+const LOSS_WINDOW_S = 600;
+/** A failure domain without a live host for longer than this counts as absent. */
+const ABSENT_AFTER_S = 60;
 const PARALLEL_HOSTS = 16;
-const MAX_TURNS = 8;
+const MAX_ROUNDS = 8;
 const ORDER_DELAY_S = 0.25;
-/** One host alone can not use the whole store. */
+/** Limit of one host; a single host cannot use the full bandwidth of the weight store. */
 const HOST_GIGABYTES_PER_SECOND = 8;
+const DAY_S = 86_400;
+/** Tolerance for rounding errors of times (s) and loaded data (GB). */
+const EPSILON = 1e-6;
 
-/** Plays a trace through a decision. */
+/** Simulates a fleet that runs a decision function against a trace. */
 export class Fleet {
   readonly #scenario: Scenario;
   readonly #decide: Decide;
   readonly #options: FleetOptions;
   readonly #hosts = new Map<string, FakeHost>();
   readonly #ledgers = new Map<string, Ledger>();
-  readonly #since = new Map<string, number>();
+  readonly #stateSince = new Map<string, number>();
   readonly #decisionMs: number[] = [];
   readonly #meter: FleetMeter;
   #now = 0;
   #measuring = false;
-  #start = 0;
-  #quiet = false;
-  #lastEvent = 0;
-  #lastHeard = new Map<string, number>();
+  #traceStart = 0;
+  #idle = false;
+  #lastEventAt = 0;
+  #lastAliveAt = new Map<string, number>();
 
   constructor(scenario: Scenario, decide: Decide, options: FleetOptions = {}) {
     this.#scenario = scenario;
@@ -79,36 +89,36 @@
   /** Forms all groups first, then plays the trace and measures. */
   run(trace: readonly TraceEvent[]): FleetResult {
     const { days } = this.#scenario;
-    this.#settle(7_200);
+    this.#runFor(INITIAL_FORMATION_S);
     const start = this.#now;
-    this.#start = start;
+    this.#traceStart = start;
     this.#measuring = true;
     for (const event of trace) {
       this.#advanceTo(start + event.at);
-      this.#happen(event);
-      this.#turn();
+      this.#applyEvent(event);
+      this.#runControllers();
     }
-    this.#advanceTo(start + days * 86_400);
-    return this.#meter.result(days * 86_400, this.#decisionMs);
+    this.#advanceTo(start + days * DAY_S);
+    return this.#meter.result(days * DAY_S, this.#decisionMs);
   }
 
-  /** Lets every host come back empty or as it was, and time pass until nothing moves. */
+  /** Revives every host with its current reported state, then simulates a recovery period. */
   calmDown(): void {
     for (const host of this.#hosts.values()) {
       host.alive = true;
       host.host = { ...host.host, state: 'live' };
       host.losses = [];
     }
-    this.#quiet = false;
-    this.#advanceTo(this.#now + CALM_S);
+    this.#idle = false;
+    this.#advanceTo(this.#now + RECOVERY_S);
   }
 
-  /** Ledgers as they stand. */
+  /** Returns the current ledgers. */
   ledgers(): Ledger[] {
     return [...this.#ledgers.values()];
   }
 
-  /** Orders that a quiet fleet still gets; there should be none. */
+  /** Orders that a recovered, idle fleet would still receive; there should be none. */
   ordersWhenQuiet(): LedgerChange[] {
     return this.#scenario.failureDomains.flatMap(domain => {
       const input = this.#input(domain);
@@ -116,38 +126,38 @@
     });
   }
 
-  #settle(seconds: number): void {
-    this.#turn();
+  #runFor(seconds: number): void {
+    this.#runControllers();
     this.#advanceTo(this.#now + seconds);
   }
 
   #advanceTo(target: number): void {
     while (this.#now < target) {
-      const step = Math.min(target, this.#nextTime());
-      this.#pass(step - this.#now);
+      const step = Math.min(target, this.#nextStepAt());
+      this.#elapse(step - this.#now);
       this.#now = step;
-      if (step < target || !this.#quiet) {
-        this.#turn();
+      if (step < target || !this.#idle) {
+        this.#runControllers();
       }
     }
   }
 
-  // While nothing is under way there is nothing to do before the next event.
-  #nextTime(): number {
+  // An idle fleet has no step of its own before the next trace event.
+  #nextStepAt(): number {
     const loading = [...this.#hosts.values()].filter(host => host.left > 0);
     const rate = this.#loadRate(loading.length);
-    const done = loading.map(host => this.#now + host.left / rate + 1e-6);
-    const soon = this.#quiet ? Infinity : this.#now + TICK_S;
-    const settling = this.#settling() ? this.#now + ORDER_DELAY_S : Infinity;
-    return Math.min(soon, settling, ...done);
+    const loadedAt = loading.map(host => this.#now + host.left / rate + EPSILON);
+    const tickAt = this.#idle ? Infinity : this.#now + TICK_S;
+    const fencingAt = this.#hasFencingGroup() ? this.#now + ORDER_DELAY_S : Infinity;
+    return Math.min(tickAt, fencingAt, ...loadedAt);
   }
 
-  #settling(): boolean {
+  #hasFencingGroup(): boolean {
     const groups = this.ledgers().flatMap(ledger => ledger.groups);
     return groups.some(group => group.state === 'fencing');
   }
 
-  #pass(seconds: number): void {
+  #elapse(seconds: number): void {
     if (this.#measuring) {
       this.#meter.pass(this.ledgers(), seconds);
     }
@@ -155,7 +165,7 @@
     const rate = this.#loadRate(loading.length);
     for (const host of loading) {
       host.left = Math.max(0, host.left - rate * seconds);
-      if (host.left < 1e-6) {
+      if (host.left < EPSILON) {
         host.left = 0;
         host.report = { ...host.report, loaded: true };
       }
@@ -168,7 +178,7 @@
     return Math.min(HOST_GIGABYTES_PER_SECOND, shared);
   }
 
-  #happen(event: TraceEvent): void {
+  #applyEvent(event: TraceEvent): void {
     const host = this.#hosts.get(event.host);
     if (host === undefined) {
       return;
@@ -193,17 +203,17 @@
         host.losses = [];
       }
     }
-    this.#quiet = false;
-    this.#lastEvent = this.#now;
+    this.#idle = false;
+    this.#lastEventAt = this.#now;
   }
 
-  #turn(): void {
-    let acted = false;
+  #runControllers(): void {
+    let hasOrders = false;
     for (const domain of this.#scenario.failureDomains) {
-      for (let turn = 0; turn < MAX_TURNS; turn++) {
+      for (let round = 0; round < MAX_ROUNDS; round++) {
         const input = this.#input(domain);
-        const forced = input.ledgers.flatMap(ledger => reconcile(input, ledger));
-        const orders = forced.length > 0 ? forced : this.#timedDecision(input);
+        const required = input.ledgers.flatMap(ledger => reconcile(input, ledger));
+        const orders = required.length > 0 ? required : this.#measureDecision(input);
         orders.forEach(order => {
           this.#apply(order);
         });
@@ -215,23 +225,23 @@
         if (orders.length === 0) {
           break;
         }
-        acted = true;
+        hasOrders = true;
       }
     }
     const groups = this.ledgers().flatMap(ledger => ledger.groups);
-    const calm = groups.every(group => group.state === 'ready' && this.#meter.serves(group));
-    this.#quiet = !acted && calm && this.#now - this.#lastEvent > SETTLE_S;
+    const allServing = groups.every(group => group.state === 'ready' && this.#meter.serves(group));
+    this.#idle = !hasOrders && allServing && this.#now - this.#lastEventAt > IDLE_AFTER_S;
   }
 
-  // The next holder of the lease knows nothing but the ledgers.
+  // The next lease holder has no state but the ledgers.
   #crash(): void {
-    this.#since.clear();
+    this.#stateSince.clear();
     for (const host of this.#hosts.values()) {
       host.losses = [];
     }
   }
 
-  #timedDecision(input: DecisionInput): LedgerChange[] {
+  #measureDecision(input: DecisionInput): LedgerChange[] {
     const startedAt = performance.now();
     const orders = this.#decide(input);
     this.#decisionMs.push(performance.now() - startedAt);
@@ -244,7 +254,7 @@
     assertLegal(next);
     this.#ledgers.set(order.fabricDomain, next);
     if (this.#measuring) {
-      this.#options.onOrder?.(order, this.#now - this.#start);
+      this.#options.onOrder?.(order, this.#now - this.#traceStart);
     }
     if (this.#measuring && order.kind !== 'confirm-fenced' && order.kind !== 'clear-unfenced') {
       this.#meter.moves += 1;
@@ -291,10 +301,10 @@
       return;
     }
     const { model, version, adapters } = group.content;
-    const kept = report.loaded && report.model === model && report.version === version;
+    const isLoaded = report.loaded && report.model === model && report.version === version;
     const base = { ...report, group: group.id, epoch: group.epoch, model, version, adapters };
-    host.report = { ...base, loaded: kept };
-    if (!kept) {
+    host.report = { ...base, loaded: isLoaded };
+    if (!isLoaded) {
       host.left = this.#scenario.configuration.models.get(model)?.['gigabytes-per-host'] ?? 1;
       this.#meter.loads += this.#measuring ? 1 : 0;
     }
@@ -306,7 +316,7 @@
     return {
       failureDomain,
       configuration: this.#scenario.configuration,
-      hosts: this.#facts(failureDomain),
+      hosts: this.#hostSnapshots(failureDomain),
       ledgers,
       ages: this.#ages(ledgers),
       times: TIMES,
@@ -315,44 +325,44 @@
     };
   }
 
-  // A whole failure domain that is silent takes its controllers with it.
+  // A failure domain whose hosts are all silent has lost its controllers too.
   #isAbsent(domain: string): boolean {
     const own = this.#scenario.hosts.filter(host => host.failureDomain === domain);
     if (own.some(host => this.#hosts.get(host.id)?.alive === true)) {
-      this.#lastHeard.set(domain, this.#now);
+      this.#lastAliveAt.set(domain, this.#now);
     }
-    return this.#now - (this.#lastHeard.get(domain) ?? this.#now) > 60;
+    return this.#now - (this.#lastAliveAt.get(domain) ?? this.#now) > ABSENT_AFTER_S;
   }
 
-  #facts(failureDomain: string): Map<string, HostSnapshot> {
-    const facts = new Map<string, HostSnapshot>();
+  #hostSnapshots(failureDomain: string): Map<string, HostSnapshot> {
+    const snapshots = new Map<string, HostSnapshot>();
     for (const [id, host] of this.#hosts) {
       if (host.host.failureDomain === failureDomain) {
-        const quiet = host.alive ? 0 : this.#now - host.silentSince;
-        const silentMs = quiet >= SILENT_AFTER_S ? quiet * 1000 : 0;
-        const recent = host.losses.filter(at => at > this.#now - LOSS_MEMORY_S);
+        const silentS = host.alive ? 0 : this.#now - host.silentSince;
+        const silentMs = silentS >= SILENT_AFTER_S ? silentS * 1000 : 0;
+        const recent = host.losses.filter(at => at > this.#now - LOSS_WINDOW_S);
         const isMissing = silentMs > 0;
         const { report } = host;
         const losses = recent.length;
         const silence = { answerAgeMs: 0, silentMs, isMissing, mayReturn: false };
-        facts.set(id, { host: host.host, report, ...silence, losses });
+        snapshots.set(id, { host: host.host, report, ...silence, losses });
       }
     }
-    return facts;
+    return snapshots;
   }
 
   #ages(ledgers: readonly Ledger[]): Map<string, number> {
     const ages = new Map<string, number>();
     for (const group of ledgers.flatMap(ledger => ledger.groups)) {
       const key = stateAgeKey(group);
-      const since = this.#since.get(key) ?? this.#now;
-      this.#since.set(key, since);
+      const since = this.#stateSince.get(key) ?? this.#now;
+      this.#stateSince.set(key, since);
       ages.set(key, (this.#now - since) * 1000);
       if (group.state === 'draining') {
-        const leader = this.#hosts.get(group.members[0]);
-        const running = this.#now - since < DRAIN_WORK_S ? 1 : 0;
-        if (leader !== undefined) {
-          leader.report = { ...leader.report, running };
+        const head = this.#hosts.get(group.members[0]);
+        const running = this.#now - since < DRAIN_REQUEST_S ? 1 : 0;
+        if (head !== undefined) {
+          head.report = { ...head.report, running };
         }
       }
     }
@@ -361,6 +371,6 @@
 }
 
 function emptyReport(host: string, at: number): HostStateReport {
-  const nothing = { group: null, epoch: 0, loaded: false, model: null, version: null };
-  return { host, incarnation: `${host}@${at}`, ...nothing, adapters: [], running: 0 };
+  const unassigned = { group: null, epoch: 0, loaded: false, model: null, version: null };
+  return { host, incarnation: `${host}@${at}`, ...unassigned, adapters: [], running: 0 };
 }
--- a/packages/bench/src/groups/naive.ts
+++ b/packages/bench/src/groups/naive.ts
@@ -1,17 +1,18 @@
 /**
- * The naive decision: a broken group is rebuilt at once from the first free hosts, first fit. It
- * is obviously right and serves as the baseline of the benchmark and of differential tests.
+ * The naive decision: a broken group is formed again at once from the first free hosts (first fit).
+ * It is simple enough to be clearly correct, so it is the baseline of the benchmark and of
+ * differential tests.
  */
 import type { DecisionInput, LedgerChange } from '@hingescale/core';
 import { isDrained, isLeaving, Plan, wantedReplicas } from '@hingescale/core';
 
-/** Decides without weighing anything. */
+/** Computes ledger changes by first fit, without comparing costs. */
 export function decideNaively(input: DecisionInput): LedgerChange[] {
   const plan = new Plan(input);
   for (const { ledger, group } of plan.groups()) {
     const leaving = group.members.some(member => {
-      const fact = input.hosts.get(member);
-      return fact !== undefined && isLeaving(ledger, fact);
+      const snapshot = input.hosts.get(member);
+      return snapshot !== undefined && isLeaving(ledger, snapshot);
     });
     const move = (state: 'draining' | 'fencing', reason: string): void => {
       plan.addChange(ledger.fabricDomain, group.id, reason, { kind: 'move', state });
@@ -35,7 +36,7 @@
           break;
         }
         const members = free
-          .map(fact => fact.host.id)
+          .map(snapshot => snapshot.host.id)
           .sort()
           .slice(0, model.hosts);
         const content = { model: name, version: model.version, adapters: model.adapters };
--- a/packages/bench/src/groups/operator-drain.test.ts
+++ b/packages/bench/src/groups/operator-drain.test.ts
@@ -1,4 +1,4 @@
-/** Guards against a drain of the only group that serves, by which callers are refused until another one has loaded. */
+/** Guards against draining the only serving group, after which callers are refused until another group has loaded. */
 import type { DecisionInput, HostSnapshot, HostStateReport } from '@hingescale/core';
 import { applyChanges, decide, emptyLedger, setCordon, stateAgeKey } from '@hingescale/core';
 import { expect } from 'chai';
@@ -11,12 +11,19 @@
 
 const { configuration: declared, hosts } = scenario('acquiring');
 const [{ fabricDomain, failureDomain }] = hosts;
-const own = hosts.filter(host => host.fabricDomain === fabricDomain);
+const fabricHosts = hosts.filter(host => host.fabricDomain === fabricDomain);
 
-/** A group in the first hosts, another one in a state or none, and free hosts; the first host is leaving in some way. */
-function inputOf(other: 'loading' | 'ready' | undefined, free: number, by: string): DecisionInput {
+/**
+ * Input with ready group a on the first hosts, an optional group b and some free hosts. The first
+ * host is cordoned when the operator drains it, or listed as leaving when the platform reclaims it.
+ */
+function inputOf(
+  other: 'loading' | 'ready' | undefined,
+  free: number,
+  drainedBy: string,
+): DecisionInput {
   const count = GROUP_SIZE * (other === undefined ? 1 : 2);
-  const present = own.slice(0, count + free);
+  const present = fabricHosts.slice(0, count + free);
   const form = (group: string, from: number) =>
     ({
       ...BASE,
@@ -34,8 +41,8 @@
     ...(other === undefined ? [] : [form('b', GROUP_SIZE)]),
     ...(other === 'ready' ? [ready('b')] : []),
   ]);
-  const isOperator = by === 'operator';
-  const facts = present.map((host, index): [string, HostSnapshot] => {
+  const isOperator = drainedBy === 'operator';
+  const snapshots = present.map((host, index): [string, HostSnapshot] => {
     const group = ledger.groups.find(({ members }) => members.includes(host.id));
     const state = index === 0 && !isOperator ? ('leaving' as const) : host.state;
     const report = { host: host.id, incarnation: 'i', group: group?.id ?? null, epoch: 1 };
@@ -54,11 +61,12 @@
   });
   const cordoned = isOperator ? setCordon(ledger, present[0]?.id ?? '', true) : ledger;
   const model = declared.models.get(CONTENT.model);
-  const only = model === undefined ? [] : [[CONTENT.model, { ...model, replicas: 1 }] as const];
+  const singleReplica =
+    model === undefined ? [] : [[CONTENT.model, { ...model, replicas: 1 }] as const];
   return {
     failureDomain,
-    configuration: { ...declared, models: new Map(only) },
-    hosts: new Map(facts),
+    configuration: { ...declared, models: new Map(singleReplica) },
+    hosts: new Map(snapshots),
     ledgers: [cordoned],
     ages: new Map(ledger.groups.map(group => [stateAgeKey(group), 1_000])),
     times: { certificateMs: 1_500, drainMs: 60_000 },
@@ -74,7 +82,7 @@
 }
 
 describe('a host that is drained, in the only group of its model', () => {
-  it('has its group replaced first, and the replacement is not taken for one too many', () => {
+  it('has its group replaced first, and the replacement does not count as a surplus replica', () => {
     expect(ordersOf(inputOf(undefined, GROUP_SIZE, 'operator'))).to.deep.equal(['form']);
     expect(ordersOf(inputOf('loading', 0, 'operator'))).to.deep.equal([]);
   });
@@ -90,7 +98,10 @@
   it('has its group drained only once it is known whether there are free hosts', () => {
     const input = inputOf(undefined, GROUP_SIZE, 'operator');
     const hosts = new Map(
-      [...input.hosts].map(([id, fact]) => [id, { ...fact, silentMs: 2_000, mayReturn: true }]),
+      [...input.hosts].map(([id, snapshot]) => [
+        id,
+        { ...snapshot, silentMs: 2_000, mayReturn: true },
+      ]),
     );
     expect(ordersOf({ ...input, hosts })).to.deep.equal([]);
   });
--- a/packages/bench/src/groups/scenario.ts
+++ b/packages/bench/src/groups/scenario.ts
@@ -1,13 +1,11 @@
-/** The fleets that the group benchmark plays: both users' of today, and the target size. */
+/** Fleets of the group benchmark: both users' present fleets, and fleets of the target size. */
 import type { Configuration, Host } from '@hingescale/core';
 import { readConfiguration } from '@hingescale/core';
 
-/** Names of the scenarios. */
 export const SCENARIOS = ['acquiring', 'caudal', 'target-acquiring', 'target-caudal'] as const;
-/** Name of a scenario. */
 export type ScenarioName = (typeof SCENARIOS)[number];
 
-/** A fleet with its configuration. */
+/** A fleet, its configuration and the number of days to simulate. */
 export type Scenario = {
   readonly name: ScenarioName;
   readonly configuration: Configuration;
@@ -23,7 +21,7 @@
   readonly downtimeWeight: number;
   readonly strandedWeight: number;
   readonly gigabytesPerSecond: number;
-  /** Model: hosts, replicas, importance, gigabytes per host. */
+  /** For each model: hosts per replica, replicas, importance, gigabytes per host. */
   readonly models: Readonly<Record<string, readonly [number, number, number, number]>>;
 };
 
@@ -58,9 +56,9 @@
   'target-caudal': { ...TARGET, ...CAUDAL_WEIGHTS },
 };
 
-const ACCELERATORS = 8;
+const ACCELERATORS_PER_HOST = 8;
 
-/** Builds a scenario. */
+/** Builds the hosts and the configuration of a scenario. */
 export function scenario(name: ScenarioName): Scenario {
   const shape = SHAPES[name];
   const configuration = readConfiguration([{ name: 'scenario.ini', text: iniOf(name, shape) }]);
@@ -83,7 +81,7 @@
       failureDomain,
       fabricDomain: `${failureDomain}-f${fabric}`,
       address: '',
-      accelerators: ACCELERATORS,
+      accelerators: ACCELERATORS_PER_HOST,
       upstream: 'engine',
       state: 'live' as const,
     })),
--- a/packages/bench/src/groups/silent-hosts.test.ts
+++ b/packages/bench/src/groups/silent-hosts.test.ts
@@ -1,4 +1,4 @@
-/** Guards against orders about groups whose members were not heard for a moment: a sound group was dissolved that way. */
+/** Guards against orders for groups whose members are silent for a moment: this once dissolved a healthy group. */
 import type {
   DecisionInput,
   Group,
@@ -12,7 +12,7 @@
 import { scenario } from './scenario.js';
 
 const GROUP_SIZE = 4;
-const LONG_MS = 600_000;
+const LONG_STATE_AGE_MS = 600_000;
 const CONTENT = { model: 'lm-pool', version: '1', adapters: [] };
 
 const { configuration, hosts } = scenario('acquiring');
@@ -22,20 +22,20 @@
   .slice(0, 2 * GROUP_SIZE)
   .map(host => host.id);
 
-type Answering = Pick<HostSnapshot, 'silentMs' | 'isMissing' | 'mayReturn'> & {
+type AnswerState = Pick<HostSnapshot, 'silentMs' | 'isMissing' | 'mayReturn'> & {
   readonly answerAgeMs?: number;
 };
 
-const ANSWERS: Answering = { silentMs: 0, isMissing: false, mayReturn: false };
-const UNHEARD: Answering = { silentMs: 2_000, isMissing: false, mayReturn: true };
-const RETURNING: Answering = { silentMs: 20_000, isMissing: true, mayReturn: true };
-const MISSING: Answering = { silentMs: 20_000, isMissing: true, mayReturn: false };
+const ANSWERING: AnswerState = { silentMs: 0, isMissing: false, mayReturn: false };
+const SILENT: AnswerState = { silentMs: 2_000, isMissing: false, mayReturn: true };
+const RETURNING: AnswerState = { silentMs: 20_000, isMissing: true, mayReturn: true };
+const MISSING: AnswerState = { silentMs: 20_000, isMissing: true, mayReturn: false };
 
-/** Two groups in a state for some time, with what is known of each of their members in turn. */
+/** Input with two groups that have been in a state for `ageMs`, and the answer state of each member in order. */
 function inputOf(
   state: GroupState,
-  answering: readonly Answering[],
-  ageMs = LONG_MS,
+  answers: readonly AnswerState[],
+  ageMs = LONG_STATE_AGE_MS,
 ): DecisionInput {
   const base = { fabricDomain, reason: '', alternatives: [] };
   const ledger = applyChanges(
@@ -52,19 +52,19 @@
       ...(state === 'ready' ? [] : [{ ...base, group, kind: 'move', state } as const]),
     ]),
   );
-  const facts = members.map((id, index): [string, HostSnapshot] => {
+  const snapshots = members.map((id, index): [string, HostSnapshot] => {
     const host = hosts.find(candidate => candidate.id === id) as (typeof hosts)[number];
     const group = ledger.groups[Math.floor(index / GROUP_SIZE)];
     const report = reportOf(id, group);
-    return [id, { host, report, losses: 0, answerAgeMs: 0, ...answering[index] }];
+    return [id, { host, report, losses: 0, answerAgeMs: 0, ...answers[index] }];
   });
   return {
     failureDomain,
     configuration,
-    hosts: new Map(facts),
+    hosts: new Map(snapshots),
     ledgers: [ledger],
     ages: new Map(ledger.groups.map(group => [stateAgeKey(group), ageMs])),
-    times: { certificateMs: 1_500, drainMs: 2 * LONG_MS },
+    times: { certificateMs: 1_500, drainMs: 2 * LONG_STATE_AGE_MS },
     remoteGroups: [],
     absentDomains: [],
   };
@@ -76,41 +76,41 @@
 }
 
 function movesOf(input: DecisionInput): string[] {
-  const forced = input.ledgers.flatMap(ledger => reconcile(input, ledger));
-  const orders = forced.length > 0 ? forced : decide(input);
+  const required = input.ledgers.flatMap(ledger => reconcile(input, ledger));
+  const orders = required.length > 0 ? required : decide(input);
   return orders.map(order => `${order.group} ${order.kind === 'move' ? order.state : order.kind}`);
 }
 
-function times(count: number, answering: Answering): Answering[] {
-  return Array.from({ length: count }, () => answering);
+function repeat(count: number, answers: AnswerState): AnswerState[] {
+  return Array.from({ length: count }, () => answers);
 }
 
-describe('groups whose members are not heard', () => {
-  it('stay as they are while nothing is known of them', () => {
-    expect(movesOf(inputOf('ready', times(8, UNHEARD)))).to.deep.equal([]);
-    expect(movesOf(inputOf('draining', times(8, UNHEARD)))).to.deep.equal([]);
-    expect(movesOf(inputOf('suspended', times(8, UNHEARD)))).to.deep.equal([]);
+describe('groups whose members are silent', () => {
+  it('keep their state while their members are silent but not yet missing', () => {
+    expect(movesOf(inputOf('ready', repeat(8, SILENT)))).to.deep.equal([]);
+    expect(movesOf(inputOf('draining', repeat(8, SILENT)))).to.deep.equal([]);
+    expect(movesOf(inputOf('suspended', repeat(8, SILENT)))).to.deep.equal([]);
   });
 
   it('are suspended once members are missing', () => {
-    const facts = [...times(7, ANSWERS), MISSING];
-    expect(movesOf(inputOf('ready', facts))).to.deep.equal(['b suspended']);
+    const snapshots = [...repeat(7, ANSWERING), MISSING];
+    expect(movesOf(inputOf('ready', snapshots))).to.deep.equal(['b suspended']);
   });
 
-  it('are not given up for each other while their members return one by one', () => {
-    const facts = [...times(3, ANSWERS), ...times(5, RETURNING)];
-    expect(movesOf(inputOf('suspended', facts))).to.deep.equal([]);
+  it('are not dissolved in favour of each other while their members return one by one', () => {
+    const snapshots = [...repeat(3, ANSWERING), ...repeat(5, RETURNING)];
+    expect(movesOf(inputOf('suspended', snapshots))).to.deep.equal([]);
   });
 
-  it('have no work left only by an answer from after the last request could be sent to them', () => {
-    const before = times(8, { ...ANSWERS, answerAgeMs: 400 });
+  it('count as drained only by an answer from after the last request could be sent to them', () => {
+    const before = repeat(8, { ...ANSWERING, answerAgeMs: 400 });
     expect(movesOf(inputOf('draining', before, 1_600))).to.deep.equal([]);
-    const after = times(8, { ...ANSWERS, answerAgeMs: 50 });
+    const after = repeat(8, { ...ANSWERING, answerAgeMs: 50 });
     expect(movesOf(inputOf('draining', after, 1_600))).to.deep.equal(['a fencing', 'b fencing']);
   });
 
-  it('are given up for each other when their members stay away', () => {
-    const facts = [...times(3, ANSWERS), MISSING, ...times(3, ANSWERS), MISSING];
-    expect(movesOf(inputOf('suspended', facts))).to.deep.equal(['b fencing']);
+  it('are dissolved in favour of each other when their members stay missing', () => {
+    const snapshots = [...repeat(3, ANSWERING), MISSING, ...repeat(3, ANSWERING), MISSING];
+    expect(movesOf(inputOf('suspended', snapshots))).to.deep.equal(['b fencing']);
   });
 });
--- a/packages/bench/src/groups/trace.ts
+++ b/packages/bench/src/groups/trace.ts
@@ -1,4 +1,4 @@
-/** Seeded traces of what happens to hosts, and traces from files of JSON lines. */
+/** Traces of host events, generated from a seed or read from files of JSON lines. */
 import { readFileSync } from 'node:fs';
 
 import type { Host } from '@hingescale/core';
@@ -7,13 +7,13 @@
 import { z } from 'zod';
 
 /**
- * What happens to a host. `die`: it is lost with its state. `pause`: it falls silent and keeps its
- * state. `resume`: a paused host answers again. `return`: a new, empty host takes its place.
- * `notice`: the platform lists it as leaving.
+ * Kinds of host events. `die`: the host is lost with its state. `pause`: it stops answering and
+ * keeps its state. `resume`: a paused host answers again. `return`: a new, empty host replaces a
+ * lost one. `notice`: the platform lists the host as leaving.
  */
 export const TRACE_KINDS = ['die', 'pause', 'resume', 'return', 'notice'] as const;
 
-/** One event of a trace, at a time in seconds. */
+/** One event of a trace; `at` is in seconds since the start of the trace. */
 export type TraceEvent = z.infer<typeof eventSchema>;
 const eventSchema = z.strictObject({
   at: z.number().min(0),
@@ -21,13 +21,16 @@
   host: z.string(),
 });
 
-/** Rates of the fleet per host and day, from the letter where it gives them. */
+/** Fleet size to which the rates refer. */
+const REFERENCE_HOSTS = 1220;
+
+/** Event rates per host and day unless stated otherwise, from the project's brief where it gives them. */
 export const RATES = {
   /** 13 hosts of 1,220 fail on an ordinary day. */
-  death: 13 / 1220,
+  death: 13 / REFERENCE_HOSTS,
   /** 100 of 1,220 are restarted or replaced. */
-  notice: 100 / 1220,
-  /** Short silences; the letter names them without a rate. */
+  notice: 100 / REFERENCE_HOSTS,
+  /** Short silences; the brief names them without a rate, so this one is an assumption. */
   pause: 0.05,
   /** Hosts that begin to flap. */
   flap: 0.004,
@@ -50,17 +53,17 @@
   return events.sort((a, b) => a.at - b.at);
 }
 
-/** Makes the trace of a seed. */
+/** Generates the trace of a seed, sorted by time. */
 export function makeTrace(hosts: readonly Host[], days: number, seed: number): TraceEvent[] {
-  const maker = new TraceMaker(seed);
+  const generator = new TraceGenerator(seed);
   for (const host of hosts) {
-    maker.liveThrough(host.id, days * DAY_S);
+    generator.addHostEvents(host.id, days * DAY_S);
   }
-  maker.loseTogether(hosts, days * DAY_S);
-  return maker.events.sort((a, b) => a.at - b.at || a.host.localeCompare(b.host));
+  generator.addCorrelatedLosses(hosts, days * DAY_S);
+  return generator.events.sort((a, b) => a.at - b.at || a.host.localeCompare(b.host));
 }
 
-class TraceMaker {
+class TraceGenerator {
   readonly events: TraceEvent[] = [];
   readonly #random;
 
@@ -68,26 +71,26 @@
     this.#random = xoroshiro128plus(seed);
   }
 
-  /** Single events of one host; after each it is whole again before the next. */
-  liveThrough(host: string, endS: number): void {
+  /** Adds the individual events of one host; it recovers from each before the next begins. */
+  addHostEvents(host: string, endS: number): void {
     const perDay = RATES.death + RATES.notice + RATES.pause + RATES.flap;
     let at = this.#exponential(DAY_S / perDay);
     while (at < endS) {
       const kind = this.#uniform() * perDay;
-      at = this.#happen(host, at, kind) + this.#exponential(DAY_S / perDay);
+      at = this.#addEvent(host, at, kind) + this.#exponential(DAY_S / perDay);
     }
   }
 
-  /** Racks and failure domains that go as a whole. */
-  loseTogether(hosts: readonly Host[], endS: number): void {
-    const rackMeanS = DAY_S / ((RATES.rack * Math.max(hosts.length, 200)) / 1220);
+  /** Adds losses of whole racks and whole failure domains. */
+  addCorrelatedLosses(hosts: readonly Host[], endS: number): void {
+    const rackMeanS = DAY_S / ((RATES.rack * Math.max(hosts.length, 200)) / REFERENCE_HOSTS);
     for (let at = this.#exponential(rackMeanS); at < endS; at += this.#exponential(rackMeanS)) {
       const first = this.#index(hosts.length);
       const fabric = hosts[first].fabricDomain;
       const rack = hosts.slice(first, first + RACK_HOSTS).filter(h => h.fabricDomain === fabric);
       const backAt = at + 1_800 + this.#exponential(3_600);
       rack.forEach(host => {
-        this.#lose(host.id, at, backAt);
+        this.#addLoss(host.id, at, backAt);
       });
     }
     const domainMeanS = DAY_S / RATES.domain;
@@ -97,48 +100,48 @@
       hosts
         .filter(host => host.failureDomain === failureDomain)
         .forEach(host => {
-          this.#lose(host.id, at, backAt);
+          this.#addLoss(host.id, at, backAt);
         });
     }
   }
 
-  #happen(host: string, at: number, kind: number): number {
+  #addEvent(host: string, at: number, kind: number): number {
     if (kind < RATES.death) {
       const backAt = at + 1_800 + this.#exponential(5_400);
-      this.#lose(host, at, backAt);
+      this.#addLoss(host, at, backAt);
       return backAt;
     }
     if (kind < RATES.death + RATES.notice) {
-      const goneAt = at + NOTICE_S;
-      const backAt = goneAt + 300 + this.#exponential(3_600);
+      const lostAt = at + NOTICE_S;
+      const backAt = lostAt + 300 + this.#exponential(3_600);
       this.events.push({ at, kind: 'notice', host });
-      this.#lose(host, goneAt, backAt);
+      this.#addLoss(host, lostAt, backAt);
       return backAt;
     }
     if (kind < RATES.death + RATES.notice + RATES.pause) {
-      return this.#pause(host, at);
+      return this.#addPause(host, at);
     }
-    return this.#flap(host, at);
+    return this.#addFlapping(host, at);
   }
 
-  #flap(host: string, at: number): number {
+  #addFlapping(host: string, at: number): number {
     const endAt = at + 1_800 + this.#exponential(3_600);
     let next = at;
     while (next < endAt) {
-      next = this.#pause(host, next) + 60 + this.#exponential(120);
+      next = this.#addPause(host, next) + 60 + this.#exponential(120);
     }
     return next;
   }
 
-  // Most silences are short, a few are long: log-normal with a median of 20 s.
-  #pause(host: string, at: number): number {
+  // Most silences are short and a few are long: their length is log-normal with a median of 20 s.
+  #addPause(host: string, at: number): number {
     const lengthS = 20 * Math.exp(1.2 * this.#normal());
     this.events.push({ at, kind: 'pause', host });
     this.events.push({ at: at + lengthS, kind: 'resume', host });
     return at + lengthS;
   }
 
-  #lose(host: string, at: number, backAt: number): void {
+  #addLoss(host: string, at: number, backAt: number): void {
     this.events.push({ at, kind: 'die', host });
     this.events.push({ at: backAt, kind: 'return', host });
   }
--- a/packages/bench/src/index.ts
+++ b/packages/bench/src/index.ts
@@ -1,4 +1,4 @@
-/** Benchmarks: commands that measure, never tests on time. */
+/** Benchmarks: commands that measure. Timings are never checked by tests. */
 export * from './groups/fleet-meter.js';
 export * from './groups/fleet.js';
 export * from './groups/naive.js';
--- a/packages/bench/src/load/arrivals.ts
+++ b/packages/bench/src/load/arrivals.ts
@@ -1,8 +1,8 @@
-/** Open-loop arrivals of a seed: when each request is due, from whom, with which prompt. */
+/** Generates open-loop arrivals from a seed: the due time, workspace and prompt of each request. */
 import { uniformFloat64 } from 'pure-rand/distribution/uniformFloat64';
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus';
 
-/** One request that is due at a time after the start. */
+/** One request, due `atMs` after the start of the load; `workspace` is an index. */
 export type Arrival = {
   readonly atMs: number;
   readonly workspace: number;
@@ -10,13 +10,13 @@
   readonly tokens: number;
 };
 
-/** Shape of a load. */
+/** Parameters of generated arrivals. */
 export type ArrivalOptions = {
   readonly seed: number;
   readonly seconds: number;
-  /** Requests a second of each workspace. */
+  /** Requests per second of each workspace. */
   readonly rates: readonly number[];
-  /** Prompt starts that requests share; a few are popular. */
+  /** Number of prompt prefixes that requests share; low indexes are drawn more often. */
   readonly sharedPrefixes: number;
   readonly prefixBlocks: number;
   readonly tokens: number;
@@ -24,11 +24,11 @@
 
 const BLOCK_CHARACTERS = 256;
 const TAIL_CHARACTERS = 100;
-/** Share of the seconds in which arrivals come twice as often, and their pause after it. */
+/** Arrivals come at twice the rate for the first BURST_MS of every BURST_PERIOD_MS, then more rarely. */
 const BURST_PERIOD_MS = 2_000;
 const BURST_MS = 400;
 
-/** Makes the arrivals, in the order in which they are due. */
+/** Generates the arrivals in the order of their due times. */
 export function makeArrivals(options: ArrivalOptions): Arrival[] {
   const random = xoroshiro128plus(options.seed);
   const uniform = (): number => uniformFloat64(random);
@@ -36,12 +36,12 @@
   options.rates.forEach((rate, workspace) => {
     let atMs = 0;
     for (;;) {
-      const now = rate * burstFactor(atMs);
-      atMs += (-Math.log(1 - uniform()) / now) * 1000;
+      const currentRate = rate * burstFactor(atMs);
+      atMs += (-Math.log(1 - uniform()) / currentRate) * 1000;
       if (atMs > options.seconds * 1000) {
         return;
       }
-      const prefix = popular(uniform(), options.sharedPrefixes);
+      const prefix = skewedIndex(uniform(), options.sharedPrefixes);
       const blocks = 1 + Math.floor(uniform() * options.prefixBlocks);
       const tail = `${Math.floor(uniform() * 1e9)} `.padEnd(TAIL_CHARACTERS, 'x');
       const prompt = prefixText(prefix, blocks) + tail;
@@ -51,13 +51,14 @@
   return arrivals.sort((a, b) => a.atMs - b.atMs);
 }
 
-// The mean over a period stays 1.
+// The factor is 2 in a burst and lower after it, so that its mean over a period is 1.
 function burstFactor(atMs: number): number {
   const share = BURST_MS / BURST_PERIOD_MS;
   return atMs % BURST_PERIOD_MS < BURST_MS ? 2 : (1 - 2 * share) / (1 - share);
 }
 
-function popular(uniform: number, count: number): number {
+// Squaring the uniform value favours low indexes.
+function skewedIndex(uniform: number, count: number): number {
   return Math.floor(count * uniform * uniform);
 }
 
--- a/packages/bench/src/load/open-loop.ts
+++ b/packages/bench/src/load/open-loop.ts
@@ -1,14 +1,14 @@
-/** Sends arrivals when they are due, whatever became of those before, and measures. */
+/** Open-loop load: sends each request when it is due, without waiting for earlier ones, and measures. */
 import { callerKey } from '@hingescale/proofs';
 import { LatencyHistogram, monotonicMs, sleep } from '@hingescale/runtime';
 import { Agent, request } from 'undici';
 
 import type { Arrival } from './arrivals.js';
 
-/** Levels that a request must keep to count as good. */
+/** Latency limits that a request must meet to count as good. */
 export type Levels = { readonly firstTokenMs: number; readonly betweenTokensMs: number };
 
-/** What a load measured. */
+/** Measurements of one load: latency in ms, request counts, and the duration in seconds. */
 export type LoadResult = {
   readonly firstToken: LatencyHistogram;
   readonly betweenTokens: LatencyHistogram;
@@ -24,7 +24,7 @@
   readonly seconds: number;
 };
 
-/** Where a load goes. */
+/** Gateways, model and callers of a load; `headers` adds headers to each request. */
 export type LoadTarget = {
   readonly addresses: readonly string[];
   readonly model: string;
@@ -42,7 +42,7 @@
   tokens: number;
 };
 
-/** Runs a load to its end. Times count from when a request was due, not from when it was sent. */
+/** Runs a load to its end. Latency is measured from the due time of a request, not from its sending. */
 export async function runLoad(
   target: LoadTarget,
   arrivals: readonly Arrival[],
@@ -120,13 +120,17 @@
         this.#refusal.record(monotonicMs() - dueAt);
         return;
       }
-      await this.#follow(arrival, dueAt, response.body);
+      await this.#readStream(arrival, dueAt, response.body);
     } catch {
       this.#counts.failed += 1;
     }
   }
 
-  async #follow(arrival: Arrival, dueAt: number, body: AsyncIterable<Uint8Array>): Promise<void> {
+  async #readStream(
+    arrival: Arrival,
+    dueAt: number,
+    body: AsyncIterable<Uint8Array>,
+  ): Promise<void> {
     let firstMs = 0;
     let lastAt = 0;
     let tokens = 0;
@@ -136,18 +140,18 @@
       const now = monotonicMs();
       const text = Buffer.from(bytes).toString('latin1');
       whole ||= text.includes('data: [DONE]');
-      const came = text.split('data: {').length - 1;
-      if (came === 0) {
+      const received = text.split('data: {').length - 1;
+      if (received === 0) {
         continue;
       }
       if (tokens === 0) {
         firstMs = now - dueAt;
       } else {
-        const gap = (now - lastAt) / came;
+        const gap = (now - lastAt) / received;
         slowest = Math.max(slowest, gap);
         this.#betweenTokens.record(gap);
       }
-      tokens += came;
+      tokens += received;
       lastAt = now;
     }
     this.#counts.tokens += tokens;
