--- a/packages/bench/src/bin-capacity.ts
+++ b/packages/bench/src/bin-capacity.ts
@@ -7,6 +7,11 @@
 import { monotonicMs, newUuid, sleep } from '@hingescale/runtime';
 import { encode } from 'cbor-x';
 
+/** Hosts, groups and pollers by which the compared samples differ. */
+const ADDED_HOSTS = 56;
+const ADDED_GROUPS = 14;
+const ADDED_POLLERS = 65;
+const WARM_UP_MS = 2_000;
 const MEASURE_S = 5;
 const HEARTBEAT_MS = 250;
 /** The default values of the timing settings. */
@@ -34,7 +39,7 @@
 for (const [hosts, pollers] of [
   [8, 0],
   [64, 0],
-  [64, 65],
+  [64, ADDED_POLLERS],
 ] as const) {
   samples.push(await measure(hosts, pollers));
 }
@@ -54,7 +59,7 @@
   const [controller] = deployment.controllers;
   const [gateway] = deployment.gateways;
   const stopPolling = startPollers(controller, pollers);
-  await sleep(2_000);
+  await sleep(WARM_UP_MS);
   const readCounters = async (): Promise<number[]> =>
     Promise.all([
       deployment.metric(controller.admin, 'cpu_seconds'),
@@ -164,11 +169,11 @@
     );
   }
   const [small, large, polled] = samples;
-  const perHost = (large.controllerCpu - small.controllerCpu) / 56;
-  const perGateway = (polled.controllerCpu - large.controllerCpu) / 65;
-  const bytesPerGroup = (large.replyBytes - small.replyBytes) / 14;
+  const perHost = (large.controllerCpu - small.controllerCpu) / ADDED_HOSTS;
+  const perGateway = (polled.controllerCpu - large.controllerCpu) / ADDED_POLLERS;
+  const bytesPerGroup = (large.replyBytes - small.replyBytes) / ADDED_GROUPS;
   console.log(
-    `slopes: controller ${(perHost * 1e6).toFixed(0)} us a second per host, ${(perGateway * 1e6).toFixed(0)} us a second per gateway; poll ${bytesPerGroup.toFixed(0)} bytes per group; controller memory ${((large.controllerMb - small.controllerMb) / 56).toFixed(2)} MB per host, ${((polled.controllerMb - large.controllerMb) / 65).toFixed(2)} MB per gateway`,
+    `slopes: controller ${(perHost * 1e6).toFixed(0)} us a second per host, ${(perGateway * 1e6).toFixed(0)} us a second per gateway; poll ${bytesPerGroup.toFixed(0)} bytes per group; controller memory ${((large.controllerMb - small.controllerMb) / ADDED_HOSTS).toFixed(2)} MB per host, ${((polled.controllerMb - large.controllerMb) / ADDED_POLLERS).toFixed(2)} MB per gateway`,
   );
 }
 
--- a/packages/bench/src/groups/silent-hosts.test.ts
+++ b/packages/bench/src/groups/silent-hosts.test.ts
@@ -81,8 +81,8 @@
   return orders.map(order => `${order.group} ${order.kind === 'move' ? order.state : order.kind}`);
 }
 
-function repeat(count: number, answers: AnswerState): AnswerState[] {
-  return Array.from({ length: count }, () => answers);
+function repeat(count: number, state: AnswerState): AnswerState[] {
+  return Array.from({ length: count }, () => state);
 }
 
 describe('groups whose members are silent', () => {
--- a/packages/bench/src/groups/trace.ts
+++ b/packages/bench/src/groups/trace.ts
@@ -30,7 +30,7 @@
   death: 13 / REFERENCE_HOSTS,
   /** 100 of 1,220 are restarted or replaced. */
   notice: 100 / REFERENCE_HOSTS,
-  /** Short silences; the brief names them without a rate, so this one is an assumption. */
+  /** Short silences; the brief names them without a rate. */
   pause: 0.05,
   /** Hosts that begin to flap. */
   flap: 0.004,
@@ -42,7 +42,13 @@
 
 const DAY_S = 86_400;
 const RACK_HOSTS = 6;
+/** Smaller fleets lose racks at the rate of a fleet of this size. */
+const MIN_RACK_FLEET_HOSTS = 200;
+/** Time from the notice to the loss of the host. */
 const NOTICE_S = 120;
+const PAUSE_MEDIAN_S = 20;
+/** Standard deviation of the logarithm of the length of a pause. */
+const PAUSE_SIGMA = 1.2;
 
 /** Reads a trace from a file: one JSON object `{"at", "kind", "host"}` a line. */
 export function readTrace(file: string): TraceEvent[] {
@@ -83,7 +89,8 @@
 
   /** Adds losses of whole racks and whole failure domains. */
   addCorrelatedLosses(hosts: readonly Host[], endS: number): void {
-    const rackMeanS = DAY_S / ((RATES.rack * Math.max(hosts.length, 200)) / REFERENCE_HOSTS);
+    const rackMeanS =
+      DAY_S / ((RATES.rack * Math.max(hosts.length, MIN_RACK_FLEET_HOSTS)) / REFERENCE_HOSTS);
     for (let at = this.#exponential(rackMeanS); at < endS; at += this.#exponential(rackMeanS)) {
       const first = this.#index(hosts.length);
       const fabric = hosts[first].fabricDomain;
@@ -135,7 +142,7 @@
 
   // Most silences are short and a few are long: their length is log-normal with a median of 20 s.
   #addPause(host: string, at: number): number {
-    const lengthS = 20 * Math.exp(1.2 * this.#normal());
+    const lengthS = PAUSE_MEDIAN_S * Math.exp(PAUSE_SIGMA * this.#normal());
     this.events.push({ at, kind: 'pause', host });
     this.events.push({ at: at + lengthS, kind: 'resume', host });
     return at + lengthS;
