--- a/packages/bench/src/bin-capacity.ts
+++ b/packages/bench/src/bin-capacity.ts
@@ -1,4 +1,4 @@
-/** `npm run measure:capacity`: slopes of memory, processor time and messages, for docs/CAPACITY.md. */
+/** `npm run measure:capacity`: memory, CPU time and messages per host and gateway, for docs/CAPACITY.md. */
 import { KeyRecords } from '@hingescale/gateway';
 import type { PollReply, PollRequest } from '@hingescale/link';
 import { LINK_REQUESTS, LinkPool } from '@hingescale/link';
@@ -7,9 +7,14 @@
 import { monotonicMs, newUuid, sleep } from '@hingescale/runtime';
 import { encode } from 'cbor-x';
 
+/** Hosts, groups and pollers by which the compared samples differ. */
+const ADDED_HOSTS = 56;
+const ADDED_GROUPS = 14;
+const ADDED_POLLERS = 65;
+const WARM_UP_MS = 2_000;
 const MEASURE_S = 5;
 const HEARTBEAT_MS = 250;
-/** The defaults of the settings. */
+/** The default values of the timing settings. */
 const TIMING = {
   'heartbeat-ms': HEARTBEAT_MS,
   'probe-ms': 250,
@@ -18,6 +23,7 @@
   'key-lease-ms': 6_000,
 };
 
+/** Rates per second, CPU in cores, memory in MB, and the bytes of one poll with its reply. */
 type Sample = {
   readonly name: string;
   readonly controllerCpu: number;
@@ -33,12 +39,12 @@
 for (const [hosts, pollers] of [
   [8, 0],
   [64, 0],
-  [64, 65],
+  [64, ADDED_POLLERS],
 ] as const) {
   samples.push(await measure(hosts, pollers));
 }
 print();
-keyMemory();
+measureKeyMemory();
 process.exit(0);
 
 async function measure(hosts: number, pollers: number): Promise<Sample> {
@@ -53,17 +59,17 @@
   const [controller] = deployment.controllers;
   const [gateway] = deployment.gateways;
   const stopPolling = startPollers(controller, pollers);
-  await sleep(2_000);
-  const read = async (): Promise<number[]> =>
+  await sleep(WARM_UP_MS);
+  const readCounters = async (): Promise<number[]> =>
     Promise.all([
       deployment.metric(controller.admin, 'cpu_seconds'),
       deployment.metric(gateway.address, 'cpu_seconds'),
       deployment.platform.calls.reads + deployment.platform.calls.watches,
       deployment.platform.calls.writes,
     ]);
-  const before = await read();
+  const before = await readCounters();
   await sleep(MEASURE_S * 1000);
-  const after = await read();
+  const after = await readCounters();
   const rates = after.map((value, index) => (value - before[index]) / MEASURE_S);
   const sample: Sample = {
     name: `${hosts} hosts, ${groups} groups, ${pollers + 1} gateways`,
@@ -85,12 +91,12 @@
 
 function startPollers(controller: DeployedController, count: number): () => void {
   const timers = Array.from({ length: count }, (_unused, index) => {
-    const links = poolOf(`poller-${index}`);
+    const links = linkPoolOf(`poller-${index}`);
     const views: Record<string, string> = {};
     return setInterval(() => {
       void links
         .to(controller.link)
-        .request<PollReply>(LINK_REQUESTS.poll, pollOf(`poller-${index}`, views), 1_000)
+        .request<PollReply>(LINK_REQUESTS.poll, pollRequestOf(`poller-${index}`, views), 1_000)
         .then(
           reply => {
             reply.views.forEach(view => {
@@ -108,27 +114,27 @@
   };
 }
 
-// A reply in the steady state: the asker holds the view and the configuration already.
+// Size of a poll and its reply in the steady state: the poller already has the view and the configuration.
 async function replyBytes(controller: DeployedController): Promise<number> {
-  const links = poolOf('sizer');
+  const links = linkPoolOf('sizer');
   const views: Record<string, string> = {};
-  const ask = (): Promise<PollReply> =>
-    links.to(controller.link).request(LINK_REQUESTS.poll, pollOf('sizer', views), 1_000);
-  (await ask()).views.forEach(view => {
+  const poll = (): Promise<PollReply> =>
+    links.to(controller.link).request(LINK_REQUESTS.poll, pollRequestOf('sizer', views), 1_000);
+  (await poll()).views.forEach(view => {
     views[view.failureDomain] = view.version;
   });
-  const request = encode(pollOf('sizer', views)).length;
-  const reply = encode(await ask()).length;
+  const request = encode(pollRequestOf('sizer', views)).length;
+  const reply = encode(await poll()).length;
   links.close();
   return request + reply;
 }
 
-function poolOf(name: string): LinkPool {
+function linkPoolOf(name: string): LinkPool {
   const identity = { role: 'gateway', name, failureDomain: 'maroussi-hall' } as const;
   return new LinkPool({ key: LINK_KEY, identity });
 }
 
-function pollOf(instance: string, views: Record<string, string>): PollRequest {
+function pollRequestOf(instance: string, views: Record<string, string>): PollRequest {
   return {
     instance,
     address: '',
@@ -163,23 +169,23 @@
     );
   }
   const [small, large, polled] = samples;
-  const perHost = (large.controllerCpu - small.controllerCpu) / 56;
-  const perGateway = (polled.controllerCpu - large.controllerCpu) / 65;
-  const bytesPerGroup = (large.replyBytes - small.replyBytes) / 14;
+  const perHost = (large.controllerCpu - small.controllerCpu) / ADDED_HOSTS;
+  const perGateway = (polled.controllerCpu - large.controllerCpu) / ADDED_POLLERS;
+  const bytesPerGroup = (large.replyBytes - small.replyBytes) / ADDED_GROUPS;
   console.log(
-    `slopes: controller ${(perHost * 1e6).toFixed(0)} us a second per host, ${(perGateway * 1e6).toFixed(0)} us a second per gateway; poll ${bytesPerGroup.toFixed(0)} bytes per group; controller memory ${((large.controllerMb - small.controllerMb) / 56).toFixed(2)} MB per host, ${((polled.controllerMb - large.controllerMb) / 65).toFixed(2)} MB per gateway`,
+    `slopes: controller ${(perHost * 1e6).toFixed(0)} us a second per host, ${(perGateway * 1e6).toFixed(0)} us a second per gateway; poll ${bytesPerGroup.toFixed(0)} bytes per group; controller memory ${((large.controllerMb - small.controllerMb) / ADDED_HOSTS).toFixed(2)} MB per host, ${((polled.controllerMb - large.controllerMb) / ADDED_POLLERS).toFixed(2)} MB per gateway`,
   );
 }
 
-function keyMemory(): void {
+function measureKeyMemory(): void {
   const count = 50_000;
   const records = new KeyRecords({ keepMs: 600_000, answerBytes: 1_000_000 });
   const before = process.memoryUsage().heapUsed;
-  for (let number = 0; number < count; number++) {
+  for (let index = 0; index < count; index++) {
     records.claim({
       workspace: 'workspace',
       key: newUuid(),
-      fingerprint: 'f'.repeat(64) + String(number),
+      fingerprint: 'f'.repeat(64) + String(index),
       claim: newUuid(),
       executor: 'gateway',
       deadlineMs: 60_000,
