--- a/packages/bench/src/bin-capacity.ts
+++ b/packages/bench/src/bin-capacity.ts
@@ -95,7 +95,7 @@
     const views: Record<string, string> = {};
     return setInterval(() => {
       void links
-        .to(controller.link)
+        .clientFor(controller.link)
         .request<PollReply>(LINK_REQUESTS.poll, pollRequestOf(`poller-${index}`, views), 1_000)
         .then(
           reply => {
@@ -119,7 +119,9 @@
   const links = linkPoolOf('sizer');
   const views: Record<string, string> = {};
   const poll = (): Promise<PollReply> =>
-    links.to(controller.link).request(LINK_REQUESTS.poll, pollRequestOf('sizer', views), 1_000);
+    links
+      .clientFor(controller.link)
+      .request(LINK_REQUESTS.poll, pollRequestOf('sizer', views), 1_000);
   (await poll()).views.forEach(view => {
     views[view.failureDomain] = view.version;
   });
--- a/packages/bench/src/bin-days.ts
+++ b/packages/bench/src/bin-days.ts
@@ -6,7 +6,7 @@
 import yargs from 'yargs';
 import { hideBin } from 'yargs/helpers';
 
-import { ownDay } from './days/own-day.js';
+import { generateDay } from './days/generate-day.js';
 
 const DAYS_FOLDER = 'target/days';
 
@@ -24,7 +24,7 @@
 let failedDays = 0;
 for (let seed = options.seed; seed < options.seed + options.count; seed++) {
   const file = join(DAYS_FOLDER, `own-${seed}.toml`);
-  writeFileSync(file, ownDay(siteText, seed));
+  writeFileSync(file, generateDay(siteText, seed));
   const reason = `day of our own, seed ${seed}`;
   const run = spawnSync(options.bench, ['run', options.site, file, '--why', reason], {
     encoding: 'utf8',
--- a/packages/bench/src/bin-groups.ts
+++ b/packages/bench/src/bin-groups.ts
@@ -7,7 +7,7 @@
 import { Fleet } from './groups/fleet.js';
 import type { FleetResult } from './groups/fleet-meter.js';
 import { decideNaively } from './groups/naive.js';
-import { scenario, SCENARIOS } from './groups/scenario.js';
+import { buildScenario, SCENARIOS } from './groups/scenario.js';
 import { makeTrace, readTrace } from './groups/trace.js';
 
 const options = await yargs(hideBin(process.argv))
@@ -30,7 +30,7 @@
 
 const rows: Row[] = [];
 for (let seed = options.seed; seed < options.seed + options.seeds; seed++) {
-  const fleetScenario = scenario(options.profile);
+  const fleetScenario = buildScenario(options.profile);
   const trace =
     options.trace === undefined
       ? makeTrace(fleetScenario.hosts, fleetScenario.days, seed)
--- a/packages/bench/src/days/own-day.test.ts
+++ b/packages/bench/src/days/generate-day.test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai';
 
-import { ownDay } from './own-day.js';
+import { generateDay } from './generate-day.js';
 
 const SITE = `name = "site"
 
@@ -20,9 +20,9 @@
 
 describe('generated days', () => {
   it('are the same for the same seed, and keep the frame of the first day', () => {
-    const day = ownDay(SITE, 7);
-    expect(day).to.equal(ownDay(SITE, 7));
-    expect(day).not.to.equal(ownDay(SITE, 8));
+    const day = generateDay(SITE, 7);
+    expect(day).to.equal(generateDay(SITE, 7));
+    expect(day).not.to.equal(generateDay(SITE, 8));
     expect(day).to.contain('name = "own-7"');
     expect(day).to.contain('kind = "scale_out"');
     expect(day).not.to.contain('other');
--- a/packages/bench/src/days/own-day.ts
+++ b/packages/bench/src/days/generate-day.ts
@@ -16,7 +16,7 @@
  * Returns the text of a day: the frame and traffic of the site's first day, with disruptions drawn
  * from `seed` over the whole day, its very start and end included.
  */
-export function ownDay(siteText: string, seed: number): string {
+export function generateDay(siteText: string, seed: number): string {
   const frame = firstDay(siteText);
   const random = xoroshiro128plus(seed);
   const draw = (from: number, to: number): number => uniformInt(random, from, to);
--- a/packages/bench/src/groups/decision.test.ts
+++ b/packages/bench/src/groups/decision.test.ts
@@ -9,7 +9,7 @@
 import { Fleet } from './fleet.js';
 import { decideNaively } from './naive.js';
 import type { Scenario, ScenarioName } from './scenario.js';
-import { scenario } from './scenario.js';
+import { buildScenario } from './scenario.js';
 import { makeTrace } from './trace.js';
 
 const USER_SCENARIOS: readonly ScenarioName[] = ['acquiring', 'caudal'];
@@ -42,7 +42,7 @@
       fc.assert(
         fc.property(fc.nat(10_000), seed => {
           const simulated = runAndRecover(name, decide, seed);
-          expect(simulated.ordersWhenQuiet()).to.deep.equal([]);
+          expect(simulated.ordersWhenIdle()).to.deep.equal([]);
           expectAllReady(name, simulated);
         }),
         PROPERTY,
@@ -84,7 +84,7 @@
 });
 
 function shortScenario(name: ScenarioName, days: number): Scenario {
-  return { ...scenario(name), days };
+  return { ...buildScenario(name), days };
 }
 
 function runAndRecover(
@@ -94,16 +94,16 @@
   crashes?: () => boolean,
 ): Fleet {
   const fleet = shortScenario(name, 1);
-  const simulated = new Fleet(fleet, decision, { crashes });
+  const simulated = new Fleet(fleet, decision, { shouldCrash: crashes });
   simulated.run(makeTrace(fleet.hosts, fleet.days, seed));
-  simulated.calmDown();
+  simulated.recoverHosts();
   return simulated;
 }
 
 function expectAllReady(name: ScenarioName, simulated: Fleet): void {
   const groups = simulated.ledgers().flatMap(ledger => ledger.groups);
   expect(groups.map(group => group.state)).to.deep.equal(groups.map(() => 'ready'));
-  for (const [model, { replicas }] of scenario(name).configuration.models) {
+  for (const [model, { replicas }] of buildScenario(name).configuration.models) {
     expect(groups.filter(group => group.content.model === model)).to.have.length(replicas);
   }
 }
@@ -126,7 +126,7 @@
 }
 
 function readyGroup(silentMs: number | undefined): { input: DecisionInput; group: Group } {
-  const { configuration, hosts } = scenario('acquiring');
+  const { configuration, hosts } = buildScenario('acquiring');
   const [first] = hosts;
   const members = hosts.slice(0, 4).map(host => host.id);
   const empty = emptyLedger(first.fabricDomain, first.failureDomain);
--- a/packages/bench/src/groups/fleet-meter.ts
+++ b/packages/bench/src/groups/fleet-meter.ts
@@ -30,7 +30,7 @@
   report: HostStateReport;
   losses: number[];
   /** Gigabytes of weights that the host has yet to load. */
-  left: number;
+  remainingGigabytes: number;
 };
 
 /** Accumulates downtime, idle accelerators and counts over virtual time. */
@@ -47,7 +47,7 @@
   }
 
   /** Adds the cost of an interval, in seconds, during which the ledgers do not change. */
-  pass(ledgers: readonly Ledger[], seconds: number): void {
+  addInterval(ledgers: readonly Ledger[], seconds: number): void {
     const { configuration } = this.#scenario;
     const groups = ledgers.flatMap(ledger => ledger.groups);
     let hasMissing = false;
--- a/packages/bench/src/groups/fleet.ts
+++ b/packages/bench/src/groups/fleet.ts
@@ -27,7 +27,7 @@
 /** Optional hooks of a simulated fleet. */
 export type FleetOptions = {
   /** Called after ledger writes; returning true crashes the controller before it sends its orders. */
-  readonly crashes?: () => boolean;
+  readonly shouldCrash?: () => boolean;
   /** Called for every ledger change, with the time in seconds since the start of the trace. */
   readonly onOrder?: (order: LedgerChange, at: number) => void;
 };
@@ -79,7 +79,14 @@
     this.#meter = new FleetMeter(scenario, this.#hosts);
     for (const host of scenario.hosts) {
       const report = emptyReport(host.id, 0);
-      this.#hosts.set(host.id, { host, alive: true, silentSince: 0, report, losses: [], left: 0 });
+      this.#hosts.set(host.id, {
+        host,
+        alive: true,
+        silentSince: 0,
+        report,
+        losses: [],
+        remainingGigabytes: 0,
+      });
       if (!this.#ledgers.has(host.fabricDomain)) {
         this.#ledgers.set(host.fabricDomain, emptyLedger(host.fabricDomain, host.failureDomain));
       }
@@ -103,7 +110,7 @@
   }
 
   /** Revives every host with its current reported state, then simulates a recovery period. */
-  calmDown(): void {
+  recoverHosts(): void {
     for (const host of this.#hosts.values()) {
       host.alive = true;
       host.host = { ...host.host, state: 'live' };
@@ -119,7 +126,7 @@
   }
 
   /** Orders that a recovered, idle fleet would still receive; there should be none. */
-  ordersWhenQuiet(): LedgerChange[] {
+  ordersWhenIdle(): LedgerChange[] {
     return this.#scenario.failureDomains.flatMap(domain => {
       const input = this.#input(domain);
       return [...input.ledgers.flatMap(l => reconcile(input, l)), ...this.#decide(input)];
@@ -144,9 +151,9 @@
 
   // An idle fleet has no step of its own before the next trace event.
   #nextStepAt(): number {
-    const loading = [...this.#hosts.values()].filter(host => host.left > 0);
+    const loading = [...this.#hosts.values()].filter(host => host.remainingGigabytes > 0);
     const rate = this.#loadRate(loading.length);
-    const loadedAt = loading.map(host => this.#now + host.left / rate + EPSILON);
+    const loadedAt = loading.map(host => this.#now + host.remainingGigabytes / rate + EPSILON);
     const tickAt = this.#idle ? Infinity : this.#now + TICK_S;
     const fencingAt = this.#hasFencingGroup() ? this.#now + ORDER_DELAY_S : Infinity;
     return Math.min(tickAt, fencingAt, ...loadedAt);
@@ -159,14 +166,14 @@
 
   #elapse(seconds: number): void {
     if (this.#measuring) {
-      this.#meter.pass(this.ledgers(), seconds);
+      this.#meter.addInterval(this.ledgers(), seconds);
     }
-    const loading = [...this.#hosts.values()].filter(host => host.left > 0);
+    const loading = [...this.#hosts.values()].filter(host => host.remainingGigabytes > 0);
     const rate = this.#loadRate(loading.length);
     for (const host of loading) {
-      host.left = Math.max(0, host.left - rate * seconds);
-      if (host.left < EPSILON) {
-        host.left = 0;
+      host.remainingGigabytes = Math.max(0, host.remainingGigabytes - rate * seconds);
+      if (host.remainingGigabytes < EPSILON) {
+        host.remainingGigabytes = 0;
         host.report = { ...host.report, loaded: true };
       }
     }
@@ -189,7 +196,7 @@
         host.silentSince = this.#now;
       }
       host.alive = false;
-      host.left = event.kind === 'die' ? 0 : host.left;
+      host.remainingGigabytes = event.kind === 'die' ? 0 : host.remainingGigabytes;
       if (event.kind === 'die') {
         host.report = emptyReport(event.host, this.#now);
       }
@@ -217,7 +224,7 @@
         orders.forEach(order => {
           this.#apply(order);
         });
-        if (orders.length > 0 && this.#options.crashes?.() === true) {
+        if (orders.length > 0 && this.#options.shouldCrash?.() === true) {
           this.#crash();
         } else {
           this.#sendOrders(this.#input(domain));
@@ -291,7 +298,7 @@
     const host = this.#hosts.get(id);
     if (host?.alive === true && host.report.group !== null) {
       host.report = emptyReport(id, this.#now);
-      host.left = 0;
+      host.remainingGigabytes = 0;
     }
   }
 
@@ -305,7 +312,8 @@
     const base = { ...report, group: group.id, epoch: group.epoch, model, version, adapters };
     host.report = { ...base, loaded: isLoaded };
     if (!isLoaded) {
-      host.left = this.#scenario.configuration.models.get(model)?.['gigabytes-per-host'] ?? 1;
+      host.remainingGigabytes =
+        this.#scenario.configuration.models.get(model)?.['gigabytes-per-host'] ?? 1;
       this.#meter.loads += this.#measuring ? 1 : 0;
     }
   }
--- a/packages/bench/src/groups/operator-drain.test.ts
+++ b/packages/bench/src/groups/operator-drain.test.ts
@@ -3,13 +3,13 @@
 import { applyChanges, decide, emptyLedger, setCordon, stateAgeKey } from '@hingescale/core';
 import { expect } from 'chai';
 
-import { scenario } from './scenario.js';
+import { buildScenario } from './scenario.js';
 
 const GROUP_SIZE = 4;
 const CONTENT = { model: 'lm-pool', version: '1', adapters: [] };
 const BASE = { reason: '', alternatives: [] };
 
-const { configuration: declared, hosts } = scenario('acquiring');
+const { configuration: declared, hosts } = buildScenario('acquiring');
 const [{ fabricDomain, failureDomain }] = hosts;
 const fabricHosts = hosts.filter(host => host.fabricDomain === fabricDomain);
 
--- a/packages/bench/src/groups/scenario.ts
+++ b/packages/bench/src/groups/scenario.ts
@@ -59,7 +59,7 @@
 const ACCELERATORS_PER_HOST = 8;
 
 /** Builds the hosts and the configuration of a scenario. */
-export function scenario(name: ScenarioName): Scenario {
+export function buildScenario(name: ScenarioName): Scenario {
   const shape = SHAPES[name];
   const configuration = readConfiguration([{ name: 'scenario.ini', text: iniOf(name, shape) }]);
   if (configuration.isErr) {
--- a/packages/bench/src/groups/silent-hosts.test.ts
+++ b/packages/bench/src/groups/silent-hosts.test.ts
@@ -9,13 +9,13 @@
 import { applyChanges, decide, emptyLedger, reconcile, stateAgeKey } from '@hingescale/core';
 import { expect } from 'chai';
 
-import { scenario } from './scenario.js';
+import { buildScenario } from './scenario.js';
 
 const GROUP_SIZE = 4;
 const LONG_STATE_AGE_MS = 600_000;
 const CONTENT = { model: 'lm-pool', version: '1', adapters: [] };
 
-const { configuration, hosts } = scenario('acquiring');
+const { configuration, hosts } = buildScenario('acquiring');
 const [{ fabricDomain, failureDomain }] = hosts;
 const members = hosts
   .filter(host => host.fabricDomain === fabricDomain)
--- a/packages/bench/src/load/open-loop.ts
+++ b/packages/bench/src/load/open-loop.ts
@@ -6,7 +6,7 @@
 import type { Arrival } from './arrivals.js';
 
 /** Latency limits that a request must meet to count as good. */
-export type Levels = { readonly firstTokenMs: number; readonly betweenTokensMs: number };
+export type LatencyLimits = { readonly firstTokenMs: number; readonly betweenTokensMs: number };
 
 /** Measurements of one load: latency in ms, request counts, and the duration in seconds. */
 export type LoadResult = {
@@ -46,7 +46,7 @@
 export async function runLoad(
   target: LoadTarget,
   arrivals: readonly Arrival[],
-  levels: Levels,
+  levels: LatencyLimits,
 ): Promise<LoadResult> {
   const load = new OpenLoop(target, levels);
   const result = await load.run(arrivals);
@@ -55,7 +55,7 @@
 
 class OpenLoop {
   readonly #target: LoadTarget;
-  readonly #levels: Levels;
+  readonly #levels: LatencyLimits;
   readonly #agent = new Agent({ pipelining: 1, connections: 2_000 });
   readonly #firstToken = new LatencyHistogram();
   readonly #betweenTokens = new LatencyHistogram();
@@ -64,7 +64,7 @@
   readonly #goodByWorkspace: number[];
   readonly #sentByWorkspace: number[];
 
-  constructor(target: LoadTarget, levels: Levels) {
+  constructor(target: LoadTarget, levels: LatencyLimits) {
     this.#target = target;
     this.#levels = levels;
     this.#goodByWorkspace = target.workspaces.map(() => 0);
--- a/packages/cli/src/wait-in-force.ts
+++ b/packages/cli/src/wait-in-force.ts
@@ -15,7 +15,7 @@
 ): Promise<string[]> {
   const deadlineMs = monotonicMs() + timeoutMs;
   for (;;) {
-    const unconfirmed = notConfirmed(await client.statuses(), revision);
+    const unconfirmed = unconfirmedProcesses(await client.statuses(), revision);
     if (unconfirmed.length === 0 || monotonicMs() > deadlineMs) {
       return unconfirmed;
     }
@@ -24,7 +24,10 @@
 }
 
 /** Names of the controllers and gateways that report a lower revision, sorted. */
-export function notConfirmed(statuses: readonly ControllerStatus[], revision: number): string[] {
+export function unconfirmedProcesses(
+  statuses: readonly ControllerStatus[],
+  revision: number,
+): string[] {
   const unconfirmed = new Set<string>();
   for (const status of statuses) {
     if (status.revision < revision) {
--- a/packages/controller/src/admin/app.ts
+++ b/packages/controller/src/admin/app.ts
@@ -4,7 +4,7 @@
 import type { ChangeError, PlatformClient } from '@hingescale/object-store';
 import { acceptChange, readRevision } from '@hingescale/object-store';
 import type { Log, Metrics } from '@hingescale/runtime';
-import { createApp, finishApp, methodNotAllowed, newUuid } from '@hingescale/runtime';
+import { addFinalHandlers, createApp, methodNotAllowed, newUuid } from '@hingescale/runtime';
 import type { Express, NextFunction, Request, Response } from 'express';
 import express from 'express';
 import { z } from 'zod';
@@ -85,7 +85,7 @@
     await changeEvacuation(options, request.params.domain, false, response);
   });
   app.all('/v1/configuration', methodNotAllowed('GET, POST'));
-  finishApp(app, error => {
+  addFinalHandlers(app, error => {
     options.log.error('administration request failed', {
       error: error.message,
     });
--- a/packages/controller/src/admin/burn-report.ts
+++ b/packages/controller/src/admin/burn-report.ts
@@ -35,7 +35,7 @@
 ): Promise<BurnReport> {
   const answers = await Promise.allSettled(
     sources.map(({ address }) =>
-      links.to(address).request<BurnSeries[]>(LINK_REQUESTS.burn, {}, REQUEST_TIMEOUT_MS),
+      links.clientFor(address).request<BurnSeries[]>(LINK_REQUESTS.burn, {}, REQUEST_TIMEOUT_MS),
     ),
   );
   const answered = sources.filter((_source, index) => answers[index].status === 'fulfilled');
--- a/packages/controller/src/views/controller-poll-task.ts
+++ b/packages/controller/src/views/controller-poll-task.ts
@@ -114,7 +114,7 @@
       const timeoutMs = periodMs * POLL_TIMEOUT_PERIODS;
       const request = this.#buildRequest(polled);
       const reply = await links
-        .to(address)
+        .clientFor(address)
         .request<PollReply>(LINK_REQUESTS.poll, request, timeoutMs);
       polled.reply = reply;
       polled.answeredPollSentAt = sentAt;
--- a/packages/entry/src/peers/peer-server.test.ts
+++ b/packages/entry/src/peers/peer-server.test.ts
@@ -87,7 +87,7 @@
     const watch = await watchInSync();
     const tally = new SharedTally({ loads: () => [['h1', 1]], work: () => [] });
     const server = serverWith({ watchOf: () => watch, tally, mayBeFollowed: () => mayBeFollowed });
-    const link = links.to(await server.listen());
+    const link = links.clientFor(await server.listen());
     const request: ReadRequest = {
       kind: OBJECT_KINDS.configuration,
       revision: 5,
@@ -119,7 +119,7 @@
       watchOf: () => watch,
       tally: new SharedTally({ loads: () => loads, work: () => [] }),
     });
-    const link = links.to(await server.listen());
+    const link = links.clientFor(await server.listen());
     const tally = { loads: [], work: [] };
     const base = { kind: OBJECT_KINDS.configuration, revision: 5, waitMs: 0, outliersHeard: 0 };
     const replyFor = async (view: string): Promise<ReadReply> =>
@@ -140,7 +140,7 @@
       watchOf: () => starting,
       tally: new SharedTally({ loads: () => [], work: () => [] }),
     });
-    const link = links.to(await server.listen());
+    const link = links.clientFor(await server.listen());
     setTimeout(() => cache.applyList({ objects: [], revision: 9 }), 50);
     const request = {
       kind: OBJECT_KINDS.hosts,
--- a/packages/entry/src/peers/peers.ts
+++ b/packages/entry/src/peers/peers.ts
@@ -250,7 +250,7 @@
   #readerOf(member: Member): KindReader {
     let reader = this.#readers.get(member.address);
     if (reader === undefined) {
-      const link = this.#links.to(member.address);
+      const link = this.#links.clientFor(member.address);
       reader = peerReader(member.address, link, this.tally, ({ outliers, lackingGroups }) => {
         this.#noteOutliers(outliers);
         this.#reportedLacking = new Set(lackingGroups);
@@ -314,7 +314,7 @@
     }
     const forwarded: SuspectRequest = { ...request, hops: request.hops - 1 };
     this.#links
-      .to(to.address)
+      .clientFor(to.address)
       .request(PEER_REQUESTS.suspect, forwarded, REQUEST_TIMEOUT_MS)
       .then(() => {
         this.#suspicionFailures.recordSuccess();
@@ -355,7 +355,7 @@
   async #requestTally(member: Member): Promise<void> {
     const reader = this.#readerOf(member);
     try {
-      const link = this.#links.to(member.address);
+      const link = this.#links.clientFor(member.address);
       const reply = await link.request<unknown>(PEER_REQUESTS.tally, null, REQUEST_TIMEOUT_MS);
       this.tally.noteDomain(member.failureDomain, parseTallyReply(reply));
       this.#tallyFailures.recordSuccess();
--- a/packages/entry/src/peers/shared-reports.ts
+++ b/packages/entry/src/peers/shared-reports.ts
@@ -101,7 +101,7 @@
     }
     const requestedAt = monotonicMs();
     try {
-      const link = links.to(address);
+      const link = links.clientFor(address);
       const reply = await link.request<unknown>(PEER_REQUESTS.askLimits, null, REQUEST_TIMEOUT_MS);
       limitReportsHeard(parseLimitReports(reply), requestedAt);
       this.#requestFailures.recordSuccess();
@@ -114,7 +114,7 @@
     const { links, neighbours, log } = this.#options;
     const send = async (address: string, reports: readonly T[]): Promise<ReportsReply> => {
       const request: ReportsRequest<T> = { reports };
-      const link = links.to(address);
+      const link = links.clientFor(address);
       return parseReportsReply(await link.request<unknown>(message, request, REQUEST_TIMEOUT_MS));
     };
     return new ReportExchange({ about, source, addresses: neighbours, send, log });
--- a/packages/gateway/src/callers/app.ts
+++ b/packages/gateway/src/callers/app.ts
@@ -1,6 +1,6 @@
 /** HTTP routes for callers, each with a typed handler. */
 import { ProblemError } from '@hingescale/core';
-import { createApp, finishApp, methodNotAllowed } from '@hingescale/runtime';
+import { addFinalHandlers, createApp, methodNotAllowed } from '@hingescale/runtime';
 import type { Express, Request, RequestHandler, Response } from 'express';
 import express from 'express';
 
@@ -76,7 +76,7 @@
     methodNotAllowed('POST'),
   );
   app.all('/v1/models', methodNotAllowed('GET'));
-  finishApp(app, error => {
+  addFinalHandlers(app, error => {
     services.metrics.count('internal_errors_total');
     services.log.error('request failed with an internal error', {
       error: error.message,
--- a/packages/gateway/src/callers/completions.ts
+++ b/packages/gateway/src/callers/completions.ts
@@ -144,7 +144,7 @@
     return result.ranOn;
   } catch (error) {
     if (!disconnected.aborted) {
-      services.burn.note(workspace, model, false, undefined);
+      services.burn.recordRequest(workspace, model, false, undefined);
     }
     throw error;
   } finally {
@@ -162,5 +162,5 @@
   const levels = [...context.configuration.serviceLevels.values()];
   const level = levels.find(candidate => candidate.model === completion.model);
   const good = level === undefined || meetsServiceLevel(level, firstTokenMs, betweenTokensMs);
-  services.burn.note(context.workspace, completion.model, good, firstTokenMs);
+  services.burn.recordRequest(context.workspace, completion.model, good, firstTokenMs);
 }
--- a/packages/gateway/src/domain/controller-task.ts
+++ b/packages/gateway/src/domain/controller-task.ts
@@ -93,7 +93,7 @@
     let reply: PollReply;
     try {
       const request = this.#request();
-      reply = await links.to(address).request(LINK_REQUESTS.poll, request, periodMs * 2);
+      reply = await links.clientFor(address).request(LINK_REQUESTS.poll, request, periodMs * 2);
     } catch {
       metrics.count('controller_polls_failed_total');
       return false;
--- a/packages/gateway/src/keys/key-task.ts
+++ b/packages/gateway/src/keys/key-task.ts
@@ -160,7 +160,7 @@
     if (ownership?.kind === 'other') {
       const { links } = this.#options;
       await links
-        .to(ownership.owner.address)
+        .clientFor(ownership.owner.address)
         .request(LINK_REQUESTS.settle, request, CLAIM_TIMEOUT_MS);
     }
   }
@@ -213,7 +213,7 @@
     const { links, log } = this.#options;
     log.message('key', 'claim', { failureDomain: owner.failureDomain });
     try {
-      const link = links.to(owner.address);
+      const link = links.clientFor(owner.address);
       return await link.request<ClaimReply>(LINK_REQUESTS.claim, request, CLAIM_TIMEOUT_MS);
     } catch (error) {
       const detail = `the key's gateway does not answer: ${(error as Error).message}`;
@@ -279,7 +279,7 @@
       return ownership !== undefined;
     }
     try {
-      const link = this.#options.links.to(target.address);
+      const link = this.#options.links.clientFor(target.address);
       await link.request(LINK_REQUESTS.settle, request, CLAIM_TIMEOUT_MS);
       return true;
     } catch {
@@ -359,7 +359,7 @@
   async #sendPart(owner: KeyOwner, request: HandoverRequest): Promise<boolean> {
     for (let attempt = 0; attempt < HANDOVER_ATTEMPTS && !this.stopped; attempt++) {
       try {
-        const link = this.#options.links.to(owner.address);
+        const link = this.#options.links.clientFor(owner.address);
         await link.request(LINK_REQUESTS.handover, request, CLAIM_TIMEOUT_MS * 2);
         return true;
       } catch {
--- a/packages/gateway/src/reports/burn-recorder.ts
+++ b/packages/gateway/src/reports/burn-recorder.ts
@@ -24,7 +24,12 @@
   readonly #series = new Map<string, Series>();
 
   /** Records a finished request; `firstTokenMs` is undefined when it produced no token. */
-  note(workspace: string, model: string, good: boolean, firstTokenMs: number | undefined): void {
+  recordRequest(
+    workspace: string,
+    model: string,
+    good: boolean,
+    firstTokenMs: number | undefined,
+  ): void {
     const minute = Math.floor(monotonicMs() / MINUTE_MS);
     const series = this.#seriesFor(workspace, model, minute);
     const count = series.minutes.get(minute) ?? { total: 0, bad: 0 };
--- a/packages/link/src/frames.ts
+++ b/packages/link/src/frames.ts
@@ -24,7 +24,7 @@
   #limit = MAX_GREETING_BYTES;
 
   /** Accepts frames up to MAX_FRAME_BYTES; called once the peer is authenticated. */
-  trust(): void {
+  allowFullFrames(): void {
     this.#limit = MAX_FRAME_BYTES;
   }
 
--- a/packages/link/src/handshake.ts
+++ b/packages/link/src/handshake.ts
@@ -32,7 +32,7 @@
 }
 
 /** Computes the proof of one end, bound to its side, the identity in the greeting and both nonces. */
-export function proofOf(
+export function computeProof(
   key: string,
   side: 'accepting' | 'connecting',
   greeting: Greeting,
--- a/packages/link/src/link-client.ts
+++ b/packages/link/src/link-client.ts
@@ -7,7 +7,7 @@
 
 import { encodeFrame, FrameReader } from './frames.js';
 import type { Challenge, Greeting, LinkIdentity } from './handshake.js';
-import { LINK_VERSION, newNonce, proofOf, sameProof } from './handshake.js';
+import { computeProof, LINK_VERSION, newNonce, sameProof } from './handshake.js';
 import { LinkError } from './link-error.js';
 import type { LinkReply } from './link-server.js';
 
@@ -134,18 +134,18 @@
           return;
         }
         const challenge = value as Challenge;
-        const expected = proofOf(key, 'accepting', greeting, challenge.nonce);
+        const expected = computeProof(key, 'accepting', greeting, challenge.nonce);
         if (!sameProof(String(challenge.proof), expected)) {
           throw new Error('peer does not know the key');
         }
         socket.write(
           encodeFrame({
-            proof: proofOf(key, 'connecting', greeting, challenge.nonce),
+            proof: computeProof(key, 'connecting', greeting, challenge.nonce),
           }),
         );
         authenticated = true;
         this.#connected = socket;
-        reader.trust();
+        reader.allowFullFrames();
         clearTimeout(timer);
         resolve(socket);
       };
@@ -210,7 +210,7 @@
   }
 
   /** Returns the client for an address. */
-  to(address: string): LinkClient {
+  clientFor(address: string): LinkClient {
     let client = this.#clients.get(address);
     if (client === undefined) {
       client = new LinkClient({ ...this.#options, address });
--- a/packages/link/src/link-server.ts
+++ b/packages/link/src/link-server.ts
@@ -6,7 +6,7 @@
 
 import { encodeFrame, FrameReader } from './frames.js';
 import type { Confirmation, Greeting, LinkIdentity } from './handshake.js';
-import { LINK_VERSION, newNonce, proofOf, sameProof } from './handshake.js';
+import { computeProof, LINK_VERSION, newNonce, sameProof } from './handshake.js';
 
 /** A request as sent over a link. */
 export type LinkRequest = {
@@ -136,17 +136,17 @@
       throw new Error('greeting is malformed or has another protocol version');
     }
     this.#greeting = greeting;
-    const proof = proofOf(this.#options.key, 'accepting', greeting, this.#nonce);
+    const proof = computeProof(this.#options.key, 'accepting', greeting, this.#nonce);
     this.#socket.write(encodeFrame({ nonce: this.#nonce, proof }));
   }
 
   #handleConfirmation(confirmation: Confirmation, greeting: Greeting): void {
-    const expected = proofOf(this.#options.key, 'connecting', greeting, this.#nonce);
+    const expected = computeProof(this.#options.key, 'connecting', greeting, this.#nonce);
     if (!sameProof(String(confirmation?.proof), expected)) {
       throw new Error('peer does not know the key');
     }
     this.authenticated = true;
-    this.#reader.trust();
+    this.#reader.allowFullFrames();
     this.#socket.setTimeout(0);
   }
 
--- a/packages/proofs/src/deployment/deployment.ts
+++ b/packages/proofs/src/deployment/deployment.ts
@@ -44,7 +44,7 @@
   readonly timing?: Readonly<Record<string, number>>;
   readonly logLevel?: string;
   /** Starts gateways one after another, after the controllers have formed the replica groups. */
-  readonly inTurn?: boolean;
+  readonly startsGatewaysInSequence?: boolean;
   /** Further values of the gateways' `[callers]` section. */
   readonly callers?: Readonly<Record<string, number>>;
   /** Values of the gateways' `[routing]` section. */
@@ -54,7 +54,7 @@
   /** Address by which a process reaches the platform; a proof can put a proxy there to cut the connection. */
   readonly platformFor?: (process: string, platform: string) => string;
   /** Runs platform, engine hosts and services in a separate process, which can be suspended. */
-  readonly standInsApart?: boolean;
+  readonly separateStandInsProcess?: boolean;
   /** Addresses by which a process reaches controllers; as for the platform, a proof can put proxies there. */
   readonly controllersFor?: (process: string, controllers: readonly string[]) => readonly string[];
 };
@@ -137,7 +137,7 @@
   /** Starts the platform, the engine hosts and a service runner per failure domain. */
   async startStandIns(): Promise<void> {
     const listen = '127.0.0.1:0';
-    if (this.#options.standInsApart === true) {
+    if (this.#options.separateStandInsProcess === true) {
       this.standIns = await this.#startSeparateStandIns();
       this.client = this.#connectToPlatform();
       return;
@@ -224,7 +224,7 @@
       const remote = this.domains.filter(other => other !== domain).flatMap(linksOf);
       await this.#addProcesses(domain, linksOf(domain), remote);
     }
-    if (this.#options.inTurn === true) {
+    if (this.#options.startsGatewaysInSequence === true) {
       await Promise.all(this.controllers.map(({ child }) => child.start()));
       await eventually('groups are ready', () => this.#groupsAreReady());
       for (const gateway of this.gateways) {
--- a/packages/proofs/src/deployment/keyed.ts
+++ b/packages/proofs/src/deployment/keyed.ts
@@ -33,7 +33,7 @@
 }
 
 /** Waits until each of these gateways (by default all) issues idempotency keys. */
-export async function keysSettled(
+export async function waitForKeyIssue(
   deployment: Deployment,
   addresses = deployment.gateways.map(gateway => gateway.address),
 ): Promise<void> {
--- a/packages/proofs/src/deployment/load.ts
+++ b/packages/proofs/src/deployment/load.ts
@@ -103,11 +103,11 @@
 
 /** Request ids, as callers chose them, of the requests that engine hosts ran. */
 export function requestIdsRun(deployment: Deployment): Set<string> {
-  return callersIds(deployment.engine.runs);
+  return callerRequestIds(deployment.engine.runs);
 }
 
 /** Request ids of runs as callers chose them: without the suffix that the gateway adds after a dot. */
-export function callersIds(runs: readonly RunRecord[]): Set<string> {
+export function callerRequestIds(runs: readonly RunRecord[]): Set<string> {
   return new Set(runs.map(run => run.requestId.split('.')[0]));
 }
 
@@ -115,7 +115,7 @@
  * Deliveries that break a guarantee about answers: truncated or another request's answer although
  * reported complete, or reported as not run although an engine host ran the request.
  */
-export function breaches(
+export function findBreaches(
   deliveries: readonly Delivery[],
   ran: ReadonlySet<string>,
 ): { readonly kind: string; readonly delivery: Delivery }[] {
--- a/packages/proofs/src/promises/03-whole-own-answer.test.ts
+++ b/packages/proofs/src/promises/03-whole-own-answer.test.ts
@@ -6,7 +6,7 @@
 import fc from 'fast-check';
 
 import { Deployment, eventually } from '../deployment/deployment.js';
-import { breaches, isOwnWholeAnswer, Load, requestIdsRun } from '../deployment/load.js';
+import { findBreaches, isOwnWholeAnswer, Load, requestIdsRun } from '../deployment/load.js';
 
 const HOSTS = 8;
 const GROUPS = 2;
@@ -64,7 +64,7 @@
       }
       await eventually('many answers came', () => load.deliveries.length > 80);
       const deliveries = await load.stop();
-      expect(breaches(deliveries, ran())).to.deep.equal([]);
+      expect(findBreaches(deliveries, ran())).to.deep.equal([]);
       const told = deliveries.every(({ answer }) => answer.execution !== undefined);
       expect(told, 'every caller is told what is known').to.equal(true);
       // The faults end, and so must their effects.
--- a/packages/proofs/src/promises/05-at-most-once.test.ts
+++ b/packages/proofs/src/promises/05-at-most-once.test.ts
@@ -5,7 +5,7 @@
 import type { CallerAnswer } from '../deployment/caller.js';
 import type { DeployedGateway, DeploymentOptions } from '../deployment/deployment.js';
 import { Deployment, eventually } from '../deployment/deployment.js';
-import { deliver, issueKey, keysSettled, runsOf } from '../deployment/keyed.js';
+import { deliver, issueKey, runsOf, waitForKeyIssue } from '../deployment/keyed.js';
 import { FAST_TIMING } from '../deployment/settings-text.js';
 
 const KEYS = 24;
@@ -16,7 +16,7 @@
 
   async function start(options: DeploymentOptions = {}): Promise<void> {
     deployment = await Deployment.start({ gatewaysPerDomain: 3, ...options });
-    await keysSettled(deployment);
+    await waitForKeyIssue(deployment);
     await keysServed(deployment);
   }
 
@@ -125,7 +125,7 @@
     const joining = deployment.gateways[2].child.start();
     await deliverAll(keys, rest);
     await joining;
-    await keysSettled(deployment);
+    await waitForKeyIssue(deployment);
     const after = await deliverAll(keys);
     expect(after.map(answer => answer.execution)).to.deep.equal(after.map(() => 'done'));
     expect(keys.map(key => runsOf(deployment, key))).to.deep.equal(keys.map(() => 1));
--- a/packages/proofs/src/promises/07-planned-stop.test.ts
+++ b/packages/proofs/src/promises/07-planned-stop.test.ts
@@ -4,7 +4,7 @@
 
 import { Balancer } from '../deployment/balancer.js';
 import { Deployment, eventually } from '../deployment/deployment.js';
-import { deliver, keysSettled, runsOf } from '../deployment/keyed.js';
+import { deliver, runsOf, waitForKeyIssue } from '../deployment/keyed.js';
 import { isOwnWholeAnswer, Load } from '../deployment/load.js';
 
 describe('promise 7: a planned stop cuts nothing', () => {
@@ -14,7 +14,7 @@
 
   it('rolling restart of all entry processes under load', async () => {
     deployment = await Deployment.start({ controllersPerDomain: 2, gatewaysPerDomain: 3 });
-    await keysSettled(deployment);
+    await waitForKeyIssue(deployment);
     const keys = Array.from({ length: 12 }, () => newUuid());
     for (const key of keys) {
       const answer = await deliver(deployment, deployment.gateways[0].address, key);
@@ -31,7 +31,7 @@
       child.signal('SIGTERM');
       expect(await child.exited()).to.equal(0);
       await child.start();
-      await keysSettled(deployment);
+      await waitForKeyIssue(deployment);
       await eventually('gateways are ready', () => balancer.ready().length === 3);
     }
     const deliveries = await load.stop();
--- a/packages/proofs/src/sessions/golden-session.test.ts
+++ b/packages/proofs/src/sessions/golden-session.test.ts
@@ -10,7 +10,7 @@
     deployment = await Deployment.start({
       gatewaysPerDomain: 2,
       logLevel: 'trace',
-      inTurn: true,
+      startsGatewaysInSequence: true,
       // Slow enough that a pause of a busy machine changes no message.
       timing: {
         'heartbeat-ms': 200,
--- a/packages/proofs/src/sessions/mixed-model.ts
+++ b/packages/proofs/src/sessions/mixed-model.ts
@@ -8,7 +8,7 @@
 import type { Deployment } from '../deployment/deployment.js';
 import { deliver, runsOf } from '../deployment/keyed.js';
 import type { Load } from '../deployment/load.js';
-import { breaches, requestIdsRun } from '../deployment/load.js';
+import { findBreaches, requestIdsRun } from '../deployment/load.js';
 
 /** What the session remembers besides the real deployment. */
 export type MixedModel = { readonly counts: Map<string, number> };
@@ -149,7 +149,7 @@
 /** Checks, from outside, what has been told against what ran; throws on a breach. */
 export function checkPromises(real: MixedReal): void {
   const { deployment, load, keys } = real;
-  const found = breaches(load.deliveries, requestIdsRun(deployment));
+  const found = findBreaches(load.deliveries, requestIdsRun(deployment));
   if (found.length > 0) {
     const { kind, delivery } = found[0];
     throw new Error(`${kind}: ${JSON.stringify(delivery)}`);
--- a/packages/proofs/src/sessions/mixed-session.ts
+++ b/packages/proofs/src/sessions/mixed-session.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check';
 
 import { Deployment } from '../deployment/deployment.js';
-import { keysSettled } from '../deployment/keyed.js';
+import { waitForKeyIssue } from '../deployment/keyed.js';
 import { Load } from '../deployment/load.js';
 import type { MixedModel, MixedReal } from './mixed-model.js';
 import { checkPromises, failure, FAILURE_KINDS } from './mixed-model.js';
@@ -73,7 +73,7 @@
     hostsPerDomain: 9,
     configuration: { replicas: 2 },
   });
-  await keysSettled(deployment);
+  await waitForKeyIssue(deployment);
   const load = new Load(deployment, { callers: 6, tokens: 6 });
   return { deployment, load, keys: new Map() };
 }
--- a/packages/proofs/src/suspensions/suspension-session.ts
+++ b/packages/proofs/src/suspensions/suspension-session.ts
@@ -6,7 +6,7 @@
 import type { Child, LogLine } from '../deployment/child.js';
 import { Deployment, eventually } from '../deployment/deployment.js';
 import type { Delivery } from '../deployment/load.js';
-import { breaches, callersIds, isOwnWholeAnswer, Load } from '../deployment/load.js';
+import { callerRequestIds, findBreaches, isOwnWholeAnswer, Load } from '../deployment/load.js';
 import type { SuspensionCase } from './suspension-cases.js';
 
 /** Seed of the random choices, and number of rounds of suspensions. */
@@ -58,7 +58,7 @@
     hostsPerDomain: HOSTS,
     configuration: { replicas: GROUPS },
     timing: TIMING,
-    standInsApart: true,
+    separateStandInsProcess: true,
   });
   try {
     await deployment.ready(GROUPS);
@@ -148,7 +148,7 @@
   deployment: Deployment,
   deliveries: readonly Delivery[],
 ): Promise<SuspensionReport> {
-  const ran = callersIds((await deployment.standIns?.runs()) ?? []);
+  const ran = callerRequestIds((await deployment.standIns?.runs()) ?? []);
   const notWhole = deliveries.filter(delivery => !isOwnWholeAnswer(delivery));
   return {
     requests: deliveries.length,
@@ -156,7 +156,7 @@
       const { code, detail } = answer.problem ?? { code: 'none', detail: answer.body.slice(-100) };
       return `${requestId} ${answer.status} ${answer.execution ?? 'broken'} ${code}: ${detail ?? ''}`;
     }),
-    breaches: breaches(deliveries, ran).map(
+    breaches: findBreaches(deliveries, ran).map(
       ({ kind, delivery }) => `${delivery.requestId} ${kind}`,
     ),
     lines: [...deployment.controllers, ...deployment.gateways].flatMap(({ name, child }) =>
--- a/packages/runtime/src/http-server.ts
+++ b/packages/runtime/src/http-server.ts
@@ -109,7 +109,7 @@
 }
 
 /** Adds the final handlers, which answer unknown paths and errors with problem documents. */
-export function finishApp(app: Express, onInternalError: (error: Error) => void): void {
+export function addFinalHandlers(app: Express, onInternalError: (error: Error) => void): void {
   app.use((request: Request, _response: Response, next: NextFunction) => {
     const detail = `no such path: ${request.path}`;
     next(new ProblemError({ status: 404, code: 'unknown-path', detail }));
--- a/packages/stand-ins/src/engine/app.ts
+++ b/packages/stand-ins/src/engine/app.ts
@@ -52,7 +52,7 @@
   /** Addresses, as `http://ip:port`, by host id. */
   readonly addresses: ReadonlyMap<string, string>;
   /** Returns a host by its id; throws if there is none. */
-  readonly host: (id: string) => PlayedHost;
+  readonly host: (id: string) => SimulatedHost;
 };
 
 /** Starts all hosts of the engine stand-in and its control routes. */
@@ -73,7 +73,7 @@
 }
 
 /** One simulated host: its engine state, its faults and its HTTP server. */
-export class PlayedHost {
+export class SimulatedHost {
   readonly faults: HostFaults = noFaults();
   readonly host: EngineHost;
   /** Time at which the host died or froze, on the clock of `performance.now()`; undefined while it is up. */
@@ -102,7 +102,7 @@
   /** Simulates the death of the host: discards its state, stops its server and cuts its connections. */
   async kill(): Promise<void> {
     this.deadSince ??= performance.now();
-    this.host.lose();
+    this.host.discardState();
     await this.#server?.stop();
   }
 
@@ -137,13 +137,13 @@
 // All simulated hosts of the process and the requests that they ran.
 class Engine {
   readonly runs: RunRecord[] = [];
-  readonly #hosts = new Map<string, PlayedHost>();
+  readonly #hosts = new Map<string, SimulatedHost>();
   readonly #options: EngineOptions;
 
   constructor(options: EngineOptions) {
     this.#options = options;
     for (const { id, listen } of options.hosts) {
-      this.#hosts.set(id, new PlayedHost(this.#createHost(id), listen));
+      this.#hosts.set(id, new SimulatedHost(this.#createHost(id), listen));
     }
   }
 
@@ -161,7 +161,7 @@
     return new Map([...this.#hosts].map(([id, simulated]) => [id, simulated.address]));
   }
 
-  host(id: string): PlayedHost {
+  host(id: string): SimulatedHost {
     const simulated = this.#hosts.get(id);
     if (simulated === undefined) {
       throw new Error(`no host ${id}`);
@@ -196,7 +196,7 @@
     return app;
   }
 
-  async #runAction(simulated: PlayedHost, action: string): Promise<void> {
+  async #runAction(simulated: SimulatedHost, action: string): Promise<void> {
     if (action === 'kill') {
       await simulated.kill();
     } else if (action === 'restart') {
--- a/packages/stand-ins/src/engine/engine-host.ts
+++ b/packages/stand-ins/src/engine/engine-host.ts
@@ -167,7 +167,7 @@
   }
 
   /** Discards group, epoch, fence, streams and cache, as the death of the host does, and begins a new incarnation. */
-  lose(): void {
+  discardState(): void {
     this.forgetStreams();
     clearInterval(this.#timer);
     this.#timer = undefined;
--- a/packages/stand-ins/src/engine/host-app.ts
+++ b/packages/stand-ins/src/engine/host-app.ts
@@ -20,7 +20,7 @@
 import { OrderRefused } from './engine-host.js';
 import type { EngineStream, StreamReader } from './engine-stream.js';
 import type { HostFaults } from './host-faults.js';
-import { hit } from './host-faults.js';
+import { consumeFault } from './host-faults.js';
 
 const BODY_LIMIT = '4mb';
 /** Length of a prompt fingerprint, in hexadecimal digits. */
@@ -97,7 +97,7 @@
 
   generate(shape: CompletionShape): RequestHandler {
     return (request, response) => {
-      if (hit(this.#faults, 'cutBeforeRun')) {
+      if (consumeFault(this.#faults, 'cutBeforeRun')) {
         request.socket.destroy();
         return;
       }
@@ -114,7 +114,10 @@
         return;
       }
       const prompt = parsed.request.prompt;
-      const cached = this.#host.cache.use(String(request.headers[CACHE_SALT_HEADER] ?? ''), prompt);
+      const cached = this.#host.cache.matchAndStore(
+        String(request.headers[CACHE_SALT_HEADER] ?? ''),
+        prompt,
+      );
       const uncachedBlocks = (prompt.length - cached) / PREFIX_BLOCK_CHARACTERS;
       const stream = this.#host.generate({
         requestId: String(request.headers[REQUEST_ID_HEADER]),
@@ -125,7 +128,7 @@
         priority: Number(request.headers[PRIORITY_HEADER] ?? 0),
         prefillSteps: Math.floor(uncachedBlocks * STEPS_PER_BLOCK),
       });
-      if (hit(this.#faults, 'loseAnswers')) {
+      if (consumeFault(this.#faults, 'loseAnswers')) {
         request.socket.destroy();
         return;
       }
@@ -144,7 +147,7 @@
 
   // Returns the reason to refuse a request. An engine that does not check fences accepts any group and epoch.
   #refusalReason(request: Request): string | undefined {
-    if (hit(this.#faults, 'refuse')) {
+    if (consumeFault(this.#faults, 'refuse')) {
       return 'refused on demand';
     }
     if (!this.#host.leading) {
@@ -162,8 +165,8 @@
 
   #sendStream(stream: EngineStream, offset: number, response: Response): void {
     const { epoch, group } = this.#host.membership;
-    const namesOtherRequest = hit(this.#faults, 'crossAnswers');
-    const carriesWrongEpoch = hit(this.#faults, 'wrongEpochs');
+    const namesOtherRequest = consumeFault(this.#faults, 'crossAnswers');
+    const carriesWrongEpoch = consumeFault(this.#faults, 'wrongEpochs');
     const { requestId } = stream.spec;
     response.setHeader(REQUEST_ID_HEADER, namesOtherRequest ? `${requestId}-other` : requestId);
     response.setHeader(EPOCH_HEADER, String(carriesWrongEpoch ? epoch - 1 : epoch));
@@ -179,8 +182,8 @@
 
   // Creates a reader that writes to the response and cuts or truncates it if such a fault is on.
   #createReader(stream: EngineStream, response: Response): StreamReader {
-    const cuts = hit(this.#faults, 'cutStreams');
-    const truncates = !cuts && hit(this.#faults, 'truncateStreams');
+    const cuts = consumeFault(this.#faults, 'cutStreams');
+    const truncates = !cuts && consumeFault(this.#faults, 'truncateStreams');
     let tokensLeft = cuts || truncates ? this.#faults.cutAfterTokens : Infinity;
     const reader: StreamReader = {
       write: event => {
--- a/packages/stand-ins/src/engine/host-faults.ts
+++ b/packages/stand-ins/src/engine/host-faults.ts
@@ -54,7 +54,7 @@
   | 'cutBeforeRun';
 
 /** Lowers a counter by one and returns true if the fault is to be injected; returns false if the counter is 0. */
-export function hit(faults: HostFaults, counter: FaultCounter): boolean {
+export function consumeFault(faults: HostFaults, counter: FaultCounter): boolean {
   if (faults[counter] <= 0) {
     return false;
   }
--- a/packages/stand-ins/src/engine/prefix-cache.ts
+++ b/packages/stand-ins/src/engine/prefix-cache.ts
@@ -29,7 +29,7 @@
   }
 
   /** Returns how many characters at the start of the prompt are cached, then stores all prefixes of the prompt. */
-  use(salt: string, prompt: string): number {
+  matchAndStore(salt: string, prompt: string): number {
     let cached = 0;
     for (const prefix of prefixHashes(salt, prompt)) {
       if (this.#storedHashes.delete(prefix.hash)) {
