--- a/packages/controller/src/admin/evacuations.ts
+++ b/packages/controller/src/admin/evacuations.ts
@@ -28,7 +28,7 @@
 
 /** Writes the order to evacuate a failure domain, or to end its evacuation; returns the order in force. */
 export async function orderEvacuation(
-  { client, failureDomains, applyOrder: take }: EvacuationOptions,
+  { client, failureDomains, applyOrder }: EvacuationOptions,
   failureDomain: FailureDomainId,
   evacuated: boolean,
   operator: string,
@@ -42,7 +42,7 @@
   if (written.isErr) {
     throw toProblem(written.error);
   }
-  await take(written.value);
+  await applyOrder(written.value);
   return written.value.value;
 }
 
--- a/packages/controller/src/groups/group-task.ts
+++ b/packages/controller/src/groups/group-task.ts
@@ -117,7 +117,7 @@
 
   /** Returns the current input of the decision; undefined until configuration, hosts and ledgers have been read. */
   decisionInput(): DecisionInput | undefined {
-    const { hosts, ledgers, prober, hostTracker: memory, failureDomain } = this.#options;
+    const { hosts, ledgers, prober, hostTracker, failureDomain } = this.#options;
     const configuration = this.#options.configuration();
     if (configuration === undefined || !hosts.synced || !ledgers.synced) {
       return undefined;
@@ -128,7 +128,7 @@
     return {
       failureDomain,
       configuration,
-      hosts: memory.facts(ownHosts, prober.observations, now),
+      hosts: hostTracker.facts(ownHosts, prober.observations, now),
       ledgers: ownLedgers,
       ages: this.#stateAges(ownLedgers, now),
       times: this.#options.times,
@@ -178,8 +178,8 @@
   }
 
   async #runCycle(): Promise<void> {
-    const { holdsLease: holds, fence, metrics, parallelLoads } = this.#options;
-    if (!this.#beginCycle(holds())) {
+    const { holdsLease, fence, metrics, parallelLoads } = this.#options;
+    if (!this.#beginCycle(holdsLease())) {
       return;
     }
     const input = this.decisionInput();
--- a/packages/controller/src/lease/lease-task.ts
+++ b/packages/controller/src/lease/lease-task.ts
@@ -106,9 +106,9 @@
    * most for the duration of one lease.
    */
   async awaitRenewal(): Promise<void> {
-    const { instance: holder, durationMs } = this.#options;
+    const { instance, durationMs } = this.#options;
     const until = monotonicMs() + durationMs;
-    while (this.lease?.holder === holder && !this.holds() && monotonicMs() < until) {
+    while (this.lease?.holder === instance && !this.holds() && monotonicMs() < until) {
       await sleep(RENEWAL_CHECK_MS, this.signal);
     }
   }
@@ -204,17 +204,10 @@
   }
 
   async #acquire(current: StoredObject<Lease> | undefined): Promise<void> {
-    const {
-      client,
-      instance: holder,
-      address,
-      adminAddress,
-      durationMs,
-      keyLeaseMs,
-    } = this.#options;
+    const { client, instance, address, adminAddress, durationMs, keyLeaseMs } = this.#options;
     const value: Lease = {
       failureDomain: this.#name,
-      holder,
+      holder: instance,
       address,
       adminAddress,
       epoch: nextEpoch(current?.value, client.era),
--- a/packages/controller/src/restore/restore-task.ts
+++ b/packages/controller/src/restore/restore-task.ts
@@ -48,19 +48,16 @@
   }
 
   async #restore(): Promise<void> {
-    const {
-      client,
-      failureDomain,
-      configurationHolder: holder,
-      configurationHeads: configuration,
-      ledgers,
-      evacuations,
-    } = this.#options;
+    const { client, failureDomain, configurationHolder, configurationHeads, ledgers, evacuations } =
+      this.#options;
     const isOwn = (value: Ledger | Evacuation): boolean => value.failureDomain === failureDomain;
     this.#reportRestored('ledger', await restoreLost(client, 'ledger', ledgers, isOwn));
     this.#reportRestored('evacuation', await restoreLost(client, 'evacuation', evacuations, isOwn));
-    const heads = configuration();
-    if (heads !== undefined && (await restoreConfiguration(client, heads, holder.current))) {
+    const heads = configurationHeads();
+    if (
+      heads !== undefined &&
+      (await restoreConfiguration(client, heads, configurationHolder.current))
+    ) {
       this.#reportRestored('configuration', ['head']);
     }
   }
--- a/packages/controller/src/views/controller-poll-task.ts
+++ b/packages/controller/src/views/controller-poll-task.ts
@@ -97,14 +97,8 @@
   }
 
   async #poll(address: string): Promise<void> {
-    const {
-      links,
-      failureDomain,
-      remoteDomains: remotes,
-      configurationHolder: holder,
-      periodMs,
-      ownAddress,
-    } = this.#options;
+    const { links, failureDomain, remoteDomains, configurationHolder, periodMs, ownAddress } =
+      this.#options;
     if (address === ownAddress()) {
       return;
     }
@@ -119,9 +113,9 @@
       polled.reply = reply;
       polled.answeredPollSentAt = sentAt;
       polled.sendConfiguration = reply.wantConfiguration;
-      remotes.applyReply(reply, failureDomain, sentAt);
+      remoteDomains.applyReply(reply, failureDomain, sentAt);
       if (reply.configuration !== undefined) {
-        holder.offer(reply.configuration);
+        configurationHolder.offer(reply.configuration);
       }
     } catch {
       // A failed poll needs no handling here: the age of the last answer shows it.
@@ -138,20 +132,15 @@
   }
 
   #buildRequest(polled: PolledController): PollRequest {
-    const {
-      instance,
-      failureDomain,
-      configurationHolder: holder,
-      remoteDomains: remotes,
-    } = this.#options;
+    const { instance, failureDomain, configurationHolder, remoteDomains } = this.#options;
     return {
       instance,
       address: '',
       failureDomain,
       role: 'controller',
-      revision: holder.revision,
-      configuration: polled.sendConfiguration ? holder.current : undefined,
-      views: remotes.versions(),
+      revision: configurationHolder.revision,
+      configuration: polled.sendConfiguration ? configurationHolder.current : undefined,
+      views: remoteDomains.versions(),
       cacheFrom: {},
       leaving: false,
       usage: [],
--- a/packages/controller/src/views/domain-task.ts
+++ b/packages/controller/src/views/domain-task.ts
@@ -39,11 +39,11 @@
 
   /** Subscribes to changes of the configuration, the hosts and the ledgers. */
   start(): void {
-    const { configurationHolder: holder, hosts, ledgers } = this.#options;
+    const { configurationHolder, hosts, ledgers } = this.#options;
     const rebuild = (): void => {
       this.rebuild();
     };
-    holder.messages.on('applied', rebuild);
+    configurationHolder.messages.on('applied', rebuild);
     hosts.messages.on('changed', rebuild);
     ledgers.messages.on('changed', rebuild);
   }
@@ -53,15 +53,8 @@
    * configuration, the hosts and the ledgers have been read.
    */
   rebuild(): void {
-    const {
-      failureDomain,
-      configurationHolder: holder,
-      hosts,
-      ledgers,
-      prober,
-      collector,
-    } = this.#options;
-    const configuration = holder.configuration;
+    const { failureDomain, configurationHolder, hosts, ledgers, prober, collector } = this.#options;
+    const configuration = configurationHolder.configuration;
     if (configuration === undefined || !hosts.synced || !ledgers.synced) {
       return;
     }
--- a/packages/controller/src/views/key-owner-task.ts
+++ b/packages/controller/src/views/key-owner-task.ts
@@ -29,11 +29,11 @@
 
   /** Starts the periodic check of the owners. */
   start(): void {
-    const { lease, initialDelayMs: settleMs, periodMs } = this.#options;
+    const { lease, initialDelayMs, periodMs } = this.#options;
     this.run(async () => {
       while (!this.stopped) {
         if (lease.holds()) {
-          await sleep(settleMs, this.signal);
+          await sleep(initialDelayMs, this.signal);
           while (lease.holds() && !this.stopped) {
             this.#update();
             await sleep(periodMs, this.signal);
--- a/packages/controller/src/views/poll-handler.ts
+++ b/packages/controller/src/views/poll-handler.ts
@@ -47,15 +47,9 @@
 
   /** Answers one poll; also takes over a newer configuration that it carries, and records polls of gateways. */
   answer(poll: PollRequest): PollReply {
-    const {
-      controllerName: name,
-      lease,
-      configurationHolder: holder,
-      roster,
-      ownView,
-    } = this.#options;
+    const { controllerName, lease, configurationHolder, roster, ownView } = this.#options;
     if (poll.configuration !== undefined) {
-      holder.offer(poll.configuration);
+      configurationHolder.offer(poll.configuration);
     }
     const view = ownView();
     const fromGateway = poll.role === 'gateway';
@@ -63,13 +57,14 @@
       roster.recordPoll(poll);
     }
     return {
-      controller: name,
+      controller: controllerName,
       active: lease.holds(),
       vouching: view !== undefined,
       activeAddress: lease.lease?.address ?? '',
-      revision: holder.revision,
-      configuration: poll.revision < holder.revision ? holder.current : undefined,
-      wantConfiguration: poll.revision > holder.revision,
+      revision: configurationHolder.revision,
+      configuration:
+        poll.revision < configurationHolder.revision ? configurationHolder.current : undefined,
+      wantConfiguration: poll.revision > configurationHolder.revision,
       evacuations: fromGateway ? this.#options.evacuations() : undefined,
       usage: fromGateway ? roster.usageOfOthers(poll.instance) : [],
       cacheEvents: fromGateway ? this.#options.cacheEvents(poll.cacheFrom) : [],
@@ -79,13 +74,13 @@
 
   /** Readiness certificates that are valid now, for the groups in a view of this failure domain. */
   ownCertificates(view: DomainView): Certificate[] {
-    const { prober, certificateLifetimeMs: certificateMs } = this.#options;
+    const { prober, certificateLifetimeMs } = this.#options;
     const answers = prober.answers();
     const now = monotonicMs();
     return view.groups.flatMap(({ group }) => {
       // A draining group also gets one, because the streams that it finishes need it.
       const serving = group.state === 'ready' || group.state === 'draining';
-      const expiry = serving ? certificateExpiry(group, answers, certificateMs) : 0;
+      const expiry = serving ? certificateExpiry(group, answers, certificateLifetimeMs) : 0;
       const remainingMs = (expiry ?? 0) - now;
       return remainingMs > 0 ? [{ group: group.id, epoch: group.epoch, remainingMs }] : [];
     });
@@ -97,16 +92,16 @@
     view: DomainView | undefined,
     withRemotes: boolean,
   ): Pick<PollReply, 'views' | 'certificates' | 'loads' | 'keys'> {
-    const { remoteDomains: remotes, loadReports: loads } = this.#options;
+    const { remoteDomains, loadReports } = this.#options;
     const ownViews = view === undefined ? [] : [view];
-    const views = withRemotes ? [...ownViews, ...remotes.views()] : ownViews;
+    const views = withRemotes ? [...ownViews, ...remoteDomains.views()] : ownViews;
     const certificates = view === undefined ? [] : this.ownCertificates(view);
     const ownGrants = this.#keyGrants();
     return {
       views: views.filter(entry => poll.views[entry.failureDomain] !== entry.version),
-      certificates: withRemotes ? [...certificates, ...remotes.certificates()] : certificates,
-      loads: withRemotes ? [...loads(), ...remotes.loads()] : loads(),
-      keys: withRemotes ? [...ownGrants, ...remotes.grants()] : ownGrants,
+      certificates: withRemotes ? [...certificates, ...remoteDomains.certificates()] : certificates,
+      loads: withRemotes ? [...loadReports(), ...remoteDomains.loads()] : loadReports(),
+      keys: withRemotes ? [...ownGrants, ...remoteDomains.grants()] : ownGrants,
     };
   }
 
--- a/packages/core/src/decision/decision-input.ts
+++ b/packages/core/src/decision/decision-input.ts
@@ -110,8 +110,10 @@
  * absent; the first ones hold the remainder.
  */
 export function wantedReplicas(input: DecisionInput, model: Model): number {
-  const { configuration, failureDomain, absentDomains: absent } = input;
-  const present = domainsOfModel(configuration, model).filter(domain => !absent.includes(domain));
+  const { configuration, failureDomain, absentDomains } = input;
+  const present = domainsOfModel(configuration, model).filter(
+    domain => !absentDomains.includes(domain),
+  );
   const index = present.indexOf(failureDomain);
   if (index < 0) {
     return 0;
--- a/packages/entry/src/entry-host.ts
+++ b/packages/entry/src/entry-host.ts
@@ -216,11 +216,11 @@
 
   #createQuarantine(): RequestQuarantine {
     const { store, log } = this.#options;
-    const { connectTimes: connects } = this.#activities;
+    const { connectTimes } = this.#activities;
     return new RequestQuarantine({
       store,
       holdsLease: () => this.#lease.term !== undefined,
-      probe: host => probeHost(host, connects.timeoutMs(host.failureDomain)),
+      probe: host => probeHost(host, connectTimes.timeoutMs(host.failureDomain)),
       isAccepting: ({ id }) => this.#registry.get(id)?.accepting ?? false,
       lastProgressAt: id => this.#activities.of(id).lastProgressAt,
       hostEnded: host => {
--- a/packages/entry/src/groups/group-coordinator.ts
+++ b/packages/entry/src/groups/group-coordinator.ts
@@ -102,21 +102,14 @@
   }
 
   #makeGroupTask(service: string): GroupTask {
-    const {
-      registry,
-      watchedForMs: inTouchForMs,
-      loadWindowMs,
-      isEvacuated,
-      log,
-      counters,
-    } = this.#options;
+    const { registry, watchedForMs, loadWindowMs, isEvacuated, log, counters } = this.#options;
     return new GroupTask({
       service,
       profile: () => this.#options.profileOf(service),
       registry,
       sender: this.#sender,
       prober: this.#prober,
-      hostsWatchedForMs: inTouchForMs,
+      hostsWatchedForMs: watchedForMs,
       loadWindowMs,
       mayLoadFreely: () => this.#options.mayLoadFreely(service),
       isEvacuated,
--- a/packages/entry/src/groups/group-repair.ts
+++ b/packages/entry/src/groups/group-repair.ts
@@ -93,9 +93,9 @@
 // When a network partition ends, members may answer again shortly before their head is probed again.
 function hasRecoveredMember(
   { members }: ReplicaGroup,
-  { recoveredHosts: justBack }: KnownGroupState,
+  { recoveredHosts }: KnownGroupState,
 ): boolean {
-  return members.some(member => member !== undefined && justBack.has(member.id));
+  return members.some(member => member !== undefined && recoveredHosts.has(member.id));
 }
 
 /** Number of hosts that the group's model needs; undefined while the model is not known. */
--- a/packages/entry/src/groups/group-task.ts
+++ b/packages/entry/src/groups/group-task.ts
@@ -175,11 +175,11 @@
   }
 
   #beingProbed(now: number): readonly HostEntry[] {
-    const { unresponsiveHosts: silent, unlistedHosts: unlisted } = this.#options.prober;
+    const { unresponsiveHosts, unlistedHosts } = this.#options.prober;
     return this.#departed()
       .filter(({ since }) => now - since < DEPARTED_PROBE_MS)
       .map(({ entry }) => entry)
-      .filter(({ id }) => !silent.has(id) && !unlisted.has(id));
+      .filter(({ id }) => !unresponsiveHosts.has(id) && !unlistedHosts.has(id));
   }
 
   #departed(): readonly DepartedHost[] {
--- a/packages/entry/src/groups/load-crashes.ts
+++ b/packages/entry/src/groups/load-crashes.ts
@@ -75,13 +75,11 @@
   }
 
   /** Counts a crash for each lost host that does not answer, and drops those that answer or were not probed in time. */
-  resolveLosses(
-    { unresponsiveHosts: silent, unlistedHosts: unlisted }: DepartedHostStatus,
-    now: number,
-  ): void {
-    const confirmed = this.#unconfirmedLosses.filter(({ host }) => silent.has(host.id));
+  resolveLosses({ unresponsiveHosts, unlistedHosts }: DepartedHostStatus, now: number): void {
+    const confirmed = this.#unconfirmedLosses.filter(({ host }) => unresponsiveHosts.has(host.id));
     this.#unconfirmedLosses = this.#unconfirmedLosses.filter(
-      ({ host, at }) => !silent.has(host.id) && !unlisted.has(host.id) && now - at < PROBE_WAIT_MS,
+      ({ host, at }) =>
+        !unresponsiveHosts.has(host.id) && !unlistedHosts.has(host.id) && now - at < PROBE_WAIT_MS,
     );
     confirmed.forEach(lost => {
       this.#noteCrash(lost);
--- a/packages/entry/src/groups/member-prober.ts
+++ b/packages/entry/src/groups/member-prober.ts
@@ -159,7 +159,7 @@
   }
 
   #recordAnswer(host: HostEntry, answers: boolean): void {
-    const { log, onChange: changed } = this.#options;
+    const { log, onChange } = this.#options;
     if (answers) {
       this.#unlisted.set(host.id, host);
     } else {
@@ -178,7 +178,7 @@
       host: host.id,
       group: host.membership?.group,
     });
-    changed();
+    onChange();
   }
 }
 
--- a/packages/entry/src/hosts/host-registry.test.ts
+++ b/packages/entry/src/hosts/host-registry.test.ts
@@ -61,8 +61,8 @@
   it('reports for each entry whether its incarnation is known, back or new, and which hosts were removed', () => {
     const batches: string[] = [];
     const read = (id: string): HostParseResult => testHostReading(testHost(id));
-    const registry = new HostRegistry(read, silentLog(), ({ applied: taken, departed }) => {
-      const entries = taken.map(
+    const registry = new HostRegistry(read, silentLog(), ({ applied, departed }) => {
+      const entries = applied.map(
         ({ entry, revision, standing }) => `${entry.id}@${revision} ${standing}`,
       );
       batches.push([...entries, ...departed.map(({ id }) => `${id} gone`)].join(', '));
@@ -143,8 +143,8 @@
     const batches: string[] = [];
     const read = (id: string, value: unknown): HostParseResult =>
       testHostReading(testHost(id, value as Partial<HostEntry>));
-    const registry = new HostRegistry(read, silentLog(), ({ applied: taken, departed }) => {
-      const entries = taken.map(({ entry, standing }) => `${incarnationOf(entry)} ${standing}`);
+    const registry = new HostRegistry(read, silentLog(), ({ applied, departed }) => {
+      const entries = applied.map(({ entry, standing }) => `${incarnationOf(entry)} ${standing}`);
       batches.push(
         [...departed.map(entry => `${incarnationOf(entry)} gone`), ...entries].join(', '),
       );
--- a/packages/entry/src/peers/peer-server.ts
+++ b/packages/entry/src/peers/peer-server.ts
@@ -73,7 +73,7 @@
 
 /** Creates a link server whose handlers answer from the state of this host; it runs no background task. */
 export function createPeerServer(options: PeerServerOptions): LinkServer {
-  const { listen, key, failureDomain, tally, suspicionReceived: suspected } = options;
+  const { listen, key, failureDomain, tally, suspicionReceived } = options;
   const views = new Map<KindCache, RoutingView>();
   const answerOf = (cache: KindCache, { view, revision }: ReadRequest): KindAnswer | undefined => {
     if (view === 'full') {
@@ -96,7 +96,7 @@
         tally: tally.ofDomain(failureDomain),
       }),
       [PEER_REQUESTS.suspect]: (request: unknown): null => {
-        suspected(parseSuspicion(request));
+        suspicionReceived(parseSuspicion(request));
         return null;
       },
       [PEER_REQUESTS.runReports]: (request: unknown): ReportsReply => {
--- a/packages/entry/src/peers/peers.ts
+++ b/packages/entry/src/peers/peers.ts
@@ -183,8 +183,8 @@
    * ignored: when hundreds of hosts start at once, each would otherwise count itself among the first.
    */
   get hostsView(): KindView {
-    const { self, leaseHolder: orderGiver } = this.#options;
-    const leads = orderGiver() === self.name;
+    const { self, leaseHolder } = this.#options;
+    const leads = leaseHolder() === self.name;
     const { isAmongFirst } = this.membership.candidates;
     return leads || isAmongFirst || this.tally.loads.hasFollowers ? 'full' : 'routing';
   }
@@ -263,14 +263,14 @@
   // Followers of this host receive a new outlier within a few milliseconds, with the replies that they are waiting
   // for, instead of after the quarter of a second between two requests.
   #noteOutliers(reports: readonly OutlierReport[]): void {
-    const { self, hostUnreachable: unreachable } = this.#options;
+    const { self, hostUnreachable } = this.#options;
     let hasNewEjection = false;
     for (const report of reports) {
       const outcome = this.outliers.note(report);
       hasNewEjection ||= outcome === 'ejected';
       const isFromOwnDomain = report.reporterDomain === self.failureDomain;
       if (outcome !== 'known' && report.isUnreachable && isFromOwnDomain) {
-        unreachable(report.targetDomain, report.targetHost);
+        hostUnreachable(report.targetDomain, report.targetHost);
       }
     }
     if (hasNewEjection) {
@@ -283,10 +283,10 @@
   // Addresses of all hosts that this one exchanges reports with: the peer it follows and its own followers. A host
   // that follows the store adds the lease holder and a host of each failure domain without followers of this host.
   #neighbours(): readonly string[] {
-    const { self, leaseHolder: orderGiver } = this.#options;
+    const { self, leaseHolder } = this.#options;
     const { above } = this.membership.candidates;
     const followed = above.find(member => !this.#choice.isBackingOff(this.#readerOf(member).name));
-    const storeNeighbours = [this.membership.get(orderGiver() ?? ''), ...this.#firstReachable()];
+    const storeNeighbours = [this.membership.get(leaseHolder() ?? ''), ...this.#firstReachable()];
     const aboveNeighbours =
       followed === undefined || this.followsStore ? storeNeighbours : [followed];
     const followers = this.tally.loads.followers.map(name => this.membership.get(name));
@@ -295,10 +295,10 @@
   }
 
   #forward(request: SuspectRequest): void {
-    const { self, leaseHolder: orderGiver, suspicionReceived: suspected, counters } = this.#options;
-    const holder = orderGiver();
+    const { self, leaseHolder, suspicionReceived, counters } = this.#options;
+    const holder = leaseHolder();
     if (holder === self.name) {
-      suspected(request);
+      suspicionReceived(request);
       return;
     }
     // Only a host that follows the store observes the lease; the lease holder known to other hosts may be outdated.
--- a/packages/entry/src/peers/shared-reports.ts
+++ b/packages/entry/src/peers/shared-reports.ts
@@ -94,7 +94,7 @@
   }
 
   async #requestLimits(name: string): Promise<void> {
-    const { links, addressOf, limitReportsReceived: limitReportsHeard } = this.#options;
+    const { links, addressOf, limitReportsReceived } = this.#options;
     const address = addressOf(name);
     if (address === undefined) {
       return;
@@ -103,7 +103,7 @@
     try {
       const link = links.clientFor(address);
       const reply = await link.request<unknown>(PEER_REQUESTS.askLimits, null, REQUEST_TIMEOUT_MS);
-      limitReportsHeard(parseLimitReports(reply), requestedAt);
+      limitReportsReceived(parseLimitReports(reply), requestedAt);
       this.#requestFailures.recordSuccess();
     } catch (error) {
       this.#requestFailures.recordFailure(error);
--- a/packages/entry/src/quarantine/lost-runs.ts
+++ b/packages/entry/src/quarantine/lost-runs.ts
@@ -61,9 +61,9 @@
 
   /** Adds a lost run and probes its host, unless a probe is in progress. */
   note(run: LostRun): void {
-    const { isAccepting: isExpected, counters } = this.#options;
+    const { isAccepting, counters } = this.#options;
     // A host that announced its shutdown, or whose entry was removed, may end with unfinished requests.
-    if (!isExpected(run.host)) {
+    if (!isAccepting(run.host)) {
       counters.count('lost_runs_total', { host: 'leaving' });
       return;
     }
@@ -79,16 +79,16 @@
   }
 
   async #classify(host: HostEntry, key: string): Promise<void> {
-    const { probe, lastProgressAt: progressedAt, hostEnded: ended, counters } = this.#options;
+    const { probe, lastProgressAt, hostEnded, counters } = this.#options;
     const outcome = await probe(host);
     const losses = this.#lossesByHost.get(key) ?? [];
     this.#lossesByHost.delete(key);
     // While another run makes progress, only new connections fail: the host is full, or a link breaks them.
-    const isInProgress = progressedAt(host.id) > (losses[0]?.at ?? Infinity);
+    const isInProgress = lastProgressAt(host.id) > (losses[0]?.at ?? Infinity);
     const hostState = outcome === 'ended' && isInProgress ? 'alive' : outcome;
     counters.count('lost_runs_total', { host: hostState }, losses.length);
     if (hostState === 'ended') {
-      ended({ host, reports: this.#reportsOf(host, losses) });
+      hostEnded({ host, reports: this.#reportsOf(host, losses) });
     }
   }
 
--- a/packages/entry/src/quarantine/quarantined-requests.ts
+++ b/packages/entry/src/quarantine/quarantined-requests.ts
@@ -165,12 +165,12 @@
     if (known !== undefined) {
       return;
     }
-    const { log, metrics, added: entered } = this.#options;
+    const { log, metrics, added } = this.#options;
     const source = revision === undefined ? 'evidence' : 'store';
     metrics.counters.count('requests_quarantined_total', { source });
     const ended = hosts.join(',');
     log.warn('request quarantined', { fingerprint, source, route, workspace, ended, since });
-    entered(request);
+    added(request);
     this.#enforceLimit();
   }
 
--- a/packages/entry/src/quarantine/request-quarantine.ts
+++ b/packages/entry/src/quarantine/request-quarantine.ts
@@ -81,15 +81,7 @@
 
   constructor(options: RequestQuarantineOptions) {
     this.#options = options;
-    const {
-      store,
-      holdsLease,
-      probe,
-      isAccepting: isExpected,
-      lastProgressAt: progressedAt,
-      log,
-      metrics,
-    } = options;
+    const { store, holdsLease, probe, isAccepting, lastProgressAt, log, metrics } = options;
     this.#requests = new QuarantinedRequests({
       added: request => {
         this.#onQuarantined(request);
@@ -102,8 +94,8 @@
     });
     this.#lostRuns = new LostRuns({
       probe,
-      isAccepting: isExpected,
-      lastProgressAt: progressedAt,
+      isAccepting,
+      lastProgressAt,
       hostEnded: host => {
         this.#hostEnded(host);
       },
@@ -178,10 +170,14 @@
    * Waits until it is decided whether a lost request is quarantined, since a retry before that could end one more
    * host. Resolves at once for requests with too few crashes to be quarantined.
    */
-  async awaitVerdict({ fingerprint, callerSignal: gone }: RequestContext): Promise<void> {
+  async awaitVerdict({ fingerprint, callerSignal }: RequestContext): Promise<void> {
     const deadline = monotonicMs() + MAX_DECISION_MS;
-    while (this.#isVerdictPending(fingerprint()) && monotonicMs() < deadline && !gone.aborted) {
-      await sleep(DECISION_STEP_MS, gone);
+    while (
+      this.#isVerdictPending(fingerprint()) &&
+      monotonicMs() < deadline &&
+      !callerSignal.aborted
+    ) {
+      await sleep(DECISION_STEP_MS, callerSignal);
     }
   }
 
@@ -199,10 +195,10 @@
   }
 
   #apply(report: RunReport): void {
-    const { metrics, hostEndReported: hostEndedAnywhere } = this.#options;
+    const { metrics, hostEndReported } = this.#options;
     metrics.counters.count('run_reports_total', { kind: report.kind });
     if (report.kind === 'crashed') {
-      hostEndedAnywhere(report.host);
+      hostEndReported(report.host);
     } else {
       this.#requests.remove(report.fingerprint, 'completed by a host');
     }
--- a/packages/entry/src/requests/await-target.ts
+++ b/packages/entry/src/requests/await-target.ts
@@ -85,8 +85,8 @@
   return { reason, targets: describeStatuses(outlook.statuses) };
 }
 
-function pauseMs({ waitedMs: lackingMs, leftMs }: WaitingRequest): number {
-  const proportionalMs = Math.min(MAX_PAUSE_MS, Math.max(MIN_PAUSE_MS, lackingMs * PAUSE_FRACTION));
+function pauseMs({ waitedMs, leftMs }: WaitingRequest): number {
+  const proportionalMs = Math.min(MAX_PAUSE_MS, Math.max(MIN_PAUSE_MS, waitedMs * PAUSE_FRACTION));
   return Math.min(proportionalMs, Math.max(1, leftMs - MIN_RUN_MS));
 }
 
--- a/packages/entry/src/requests/exchange.ts
+++ b/packages/entry/src/requests/exchange.ts
@@ -96,7 +96,7 @@
   exchangeRequest: ExchangeRequest,
   observer: ExchangeObserver,
 ): Exchange {
-  const { host, method, url, headers, body, connections, connectTimes: connects } = exchangeRequest;
+  const { host, method, url, headers, body, connections, connectTimes } = exchangeRequest;
   let ended = false;
   let answer: IncomingMessage | undefined;
   let connected = false;
@@ -165,14 +165,14 @@
     }
     const connectingSince = monotonicMs();
     const recordConnectTime = (): void => {
-      connects.note(host.failureDomain, monotonicMs() - connectingSince);
+      connectTimes.note(host.failureDomain, monotonicMs() - connectingSince);
     };
     connectTimer = afterTurn(() => {
       if (!connected && !ended) {
         recordConnectTime();
       }
       failUnlessConnected();
-    }, connects.timeoutMs(host.failureDomain));
+    }, connectTimes.timeoutMs(host.failureDomain));
     // This listener runs before the HTTP client's own one, which writes the request.
     socket.once('connect', () => {
       connectTimer.cancel();
--- a/packages/entry/src/requests/host-state-at-send.ts
+++ b/packages/entry/src/requests/host-state-at-send.ts
@@ -28,7 +28,7 @@
     activities,
     notices,
     namedLimits,
-    storeFreshness: knowledge,
+    storeFreshness,
   }: Pick<RelayServices, 'activities' | 'notices' | 'namedLimits' | 'storeFreshness'>,
   host: HostEntry,
   now: number,
@@ -37,7 +37,7 @@
     avoidedMs: roundedIfPositive(activities.avoidanceLeftMs(host.id, now)),
     backoffMs: roundedIfPositive(notices.backoffLeftMs(host, now)),
     limitPerS: namedLimits.perSecondOf(host),
-    ...knowledge(),
+    ...storeFreshness(),
   };
 }
 
--- a/packages/entry/src/requests/may-write.ts
+++ b/packages/entry/src/requests/may-write.ts
@@ -11,9 +11,9 @@
  */
 export function mayWriteTo(
   { registry, eligibility }: Pick<RelayServices, 'registry' | 'eligibility'>,
-  { homeRegions: homes }: Pick<RequestContext, 'homeRegions'>,
+  { homeRegions }: Pick<RequestContext, 'homeRegions'>,
   chosen: HostEntry,
 ): boolean {
   const host = registry.latestOf(chosen);
-  return eligibility.mayWrite(host, homes.current(), monotonicMs());
+  return eligibility.mayWrite(host, homeRegions.current(), monotonicMs());
 }
--- a/packages/entry/src/requests/paced-wait.test.ts
+++ b/packages/entry/src/requests/paced-wait.test.ts
@@ -15,8 +15,8 @@
   /** Services with a cold host that can take one request per interval, the first after `nextInMs`; undefined: none. */
   function servicesWithPace(pace: SendPace | undefined): RelayServices {
     let nextAt = monotonicMs() + (pace?.nextInMs ?? Infinity);
-    const choose = ({ skipsLimitedHosts: leavesPaced }: TargetQuery): Target | undefined => {
-      if (pace === undefined || leavesPaced === true || monotonicMs() < nextAt) {
+    const choose = ({ skipsLimitedHosts }: TargetQuery): Target | undefined => {
+      if (pace === undefined || skipsLimitedHosts === true || monotonicMs() < nextAt) {
         return undefined;
       }
       nextAt += pace.intervalMs;
--- a/packages/entry/src/requests/paced-wait.ts
+++ b/packages/entry/src/requests/paced-wait.ts
@@ -27,21 +27,21 @@
 export async function awaitPacedTarget(
   services: RelayServices,
   query: () => TargetQuery,
-  { latestSendAt: until, callerSignal: callerSignal }: PacedWait,
+  { latestSendAt, callerSignal: callerSignal }: PacedWait,
 ): Promise<Target | undefined> {
-  const { chooser, pacedQueues: pacedWaits } = services;
+  const { chooser, pacedQueues } = services;
   const initialQuery = query();
   const pace = chooser.paceOf(initialQuery);
   if (pace === undefined) {
     return undefined;
   }
-  const turnInMs = pace.nextInMs + pacedWaits.count(initialQuery) * pace.intervalMs;
-  if (monotonicMs() + turnInMs > until) {
+  const turnInMs = pace.nextInMs + pacedQueues.count(initialQuery) * pace.intervalMs;
+  if (monotonicMs() + turnInMs > latestSendAt) {
     return undefined;
   }
-  const queueEntry = pacedWaits.enter(initialQuery);
+  const queueEntry = pacedQueues.enter(initialQuery);
   try {
-    while (monotonicMs() < until && !callerSignal.aborted) {
+    while (monotonicMs() < latestSendAt && !callerSignal.aborted) {
       await sleep(POLL_INTERVAL_MS, callerSignal);
       const leavesPaced = !queueEntry.isFirst();
       const target = callerSignal.aborted
--- a/packages/entry/src/requests/plain-relay.ts
+++ b/packages/entry/src/requests/plain-relay.ts
@@ -138,7 +138,7 @@
   }
 
   #attempt(target: Target): Promise<AttemptEnd> {
-    const { callerSignal: gone, deadline, request, body } = this.#context;
+    const { callerSignal, deadline, request, body } = this.#context;
     const { activities, headers: headerNames } = this.#services;
     const sentAt = monotonicMs();
     const stateAtSend = hostStateAtSend(this.#services, target.host, sentAt);
@@ -151,7 +151,7 @@
       const settle = (end: AttemptEnd): void => {
         timeout.cancel();
         removeGuard();
-        gone.removeEventListener('abort', cancel);
+        callerSignal.removeEventListener('abort', cancel);
         activities.noteRequestEnded(target.host.id, false);
         this.#recordEnd({
           target,
@@ -195,7 +195,7 @@
       const cancel = (): void => {
         exchange.cancel();
       };
-      gone.addEventListener('abort', cancel);
+      callerSignal.addEventListener('abort', cancel);
       const removeGuard = this.#services.quarantine.cancelWhenQuarantined(this.#context, cancel);
       const timeout = afterTurn(cancel, this.#attemptTimeoutMs(deadline));
     });
--- a/packages/entry/src/requests/retry-after.ts
+++ b/packages/entry/src/requests/retry-after.ts
@@ -25,7 +25,7 @@
  * computed for a later request, which may be sent to the hosts that this one was sent to.
  */
 export function retryAfterMs(
-  { chooser, pacedQueues: pacedWaits }: Pick<RelayServices, 'chooser' | 'pacedQueues'>,
+  { chooser, pacedQueues }: Pick<RelayServices, 'chooser' | 'pacedQueues'>,
   query: TargetQuery,
   usualMs: number,
 ): number {
@@ -36,6 +36,6 @@
     return backoffMs ?? usualMs;
   }
   // Requests that already wait at this entry host are served first.
-  const queueMs = pacedWaits.count(laterQuery) * (chooser.paceOf(laterQuery)?.intervalMs ?? 0);
+  const queueMs = pacedQueues.count(laterQuery) * (chooser.paceOf(laterQuery)?.intervalMs ?? 0);
   return Math.ceil(placeMs + queueMs);
 }
--- a/packages/entry/src/requests/stall-limits.ts
+++ b/packages/entry/src/requests/stall-limits.ts
@@ -89,14 +89,14 @@
 function gapLimits({
   gapTargetMs,
   hostServesOthers,
-  typicalFirstEventMs: typicalFirstMs,
+  typicalFirstEventMs,
 }: SilentAttempt): StallLimits {
   if (hostServesOthers) {
     const busyMs = gapTargetMs * GAP_BUSY_HOST_FACTOR;
     return { reportMs: busyMs, secondAttemptMs: busyMs, lostMs: Infinity };
   }
   const remainingMs = gapTargetMs * (1 - GAP_SECOND_ATTEMPT_FACTOR);
-  const canMeetTarget = typicalFirstMs !== undefined && typicalFirstMs <= remainingMs;
+  const canMeetTarget = typicalFirstEventMs !== undefined && typicalFirstEventMs <= remainingMs;
   return {
     reportMs: gapTargetMs * GAP_REPORT_FACTOR,
     secondAttemptMs:
@@ -106,26 +106,22 @@
 }
 
 function firstEventLimits(attempt: SilentAttempt): StallLimits {
-  const {
-    objectiveMs,
-    gapTargetMs,
-    typicalFirstEventMs: typicalFirstMs,
-    isResumed: resumed,
-  } = attempt;
-  const effectiveObjectiveMs = resumed ? gapTargetMs * RESUMED_OBJECTIVE_GAPS : objectiveMs;
+  const { objectiveMs, gapTargetMs, typicalFirstEventMs, isResumed } = attempt;
+  const effectiveObjectiveMs = isResumed ? gapTargetMs * RESUMED_OBJECTIVE_GAPS : objectiveMs;
   const latestReportMs = effectiveObjectiveMs * FIRST_EVENT_REPORT_FACTOR;
   const lateSecondAttemptMs = effectiveObjectiveMs * FIRST_EVENT_LATE_SECOND_ATTEMPT_FACTOR;
-  if (typicalFirstMs === undefined) {
+  if (typicalFirstEventMs === undefined) {
     return {
       reportMs: latestReportMs,
       secondAttemptMs: lateSecondAttemptMs,
       lostMs: lateSecondAttemptMs,
     };
   }
-  const reportMs = Math.min(latestReportMs, typicalFirstMs * FIRST_EVENT_OUTLIER_FACTOR);
+  const reportMs = Math.min(latestReportMs, typicalFirstEventMs * FIRST_EVENT_OUTLIER_FACTOR);
   // Latest silence at which a second attempt would usually still meet the objective.
-  const inTimeMs = objectiveMs - typicalFirstMs;
-  const canMeetObjective = !resumed && inTimeMs >= typicalFirstMs * FIRST_EVENT_IN_TIME_FACTOR;
+  const inTimeMs = objectiveMs - typicalFirstEventMs;
+  const canMeetObjective =
+    !isResumed && inTimeMs >= typicalFirstEventMs * FIRST_EVENT_IN_TIME_FACTOR;
   return {
     reportMs,
     secondAttemptMs: canMeetObjective ? inTimeMs : lateSecondAttemptMs,
--- a/packages/entry/src/requests/stream-relay.ts
+++ b/packages/entry/src/requests/stream-relay.ts
@@ -62,7 +62,7 @@
 
   /** Relays the stream to its end, with as many attempts as the route and the retry budget allow. */
   async run(): Promise<void> {
-    const { callerSignal: gone, deadline } = this.#context;
+    const { callerSignal, deadline } = this.#context;
     if (this.#isRefused()) {
       this.#giveUp('overloaded');
       return;
@@ -72,7 +72,7 @@
         attempt.cancel();
       });
     };
-    gone.addEventListener('abort', cancel);
+    callerSignal.addEventListener('abort', cancel);
     const removeGuard = this.#services.quarantine.cancelWhenQuarantined(this.#context, cancel);
     const timeout = afterTurn(cancel, Math.max(1, deadline - DEADLINE_MARGIN_MS - monotonicMs()));
     try {
@@ -80,7 +80,7 @@
     } finally {
       timeout.cancel();
       removeGuard();
-      gone.removeEventListener('abort', cancel);
+      callerSignal.removeEventListener('abort', cancel);
     }
   }
 
@@ -90,11 +90,11 @@
   }
 
   async #runAttempts(): Promise<void> {
-    const { callerSignal: gone } = this.#context;
+    const { callerSignal } = this.#context;
     for (;;) {
       const query = (): TargetQuery => this.#query();
       const target = await awaitTarget(this.#services, this.#context, query);
-      if (gone.aborted) {
+      if (callerSignal.aborted) {
         this.#releaseClaim(target);
         return;
       }
@@ -111,7 +111,7 @@
         await this.#services.quarantine.awaitVerdict(this.#context);
       }
       const mayRetry = await this.#awaitRetry();
-      if (gone.aborted) {
+      if (callerSignal.aborted) {
         return;
       }
       if (!mayRetry) {
@@ -125,12 +125,12 @@
   // Returns whether another attempt may start. A stream that has begun waits for the retry budget: if it failed, the
   // caller would lose the events received so far.
   async #awaitRetry(): Promise<boolean> {
-    const { callerSignal: gone, response } = this.#context;
+    const { callerSignal, response } = this.#context;
     while (!this.#attemptLog.takeRetry()) {
       if (!response.headersSent || !this.#attemptLog.canRetry()) {
         return false;
       }
-      await sleep(BUDGET_POLL_MS, gone);
+      await sleep(BUDGET_POLL_MS, callerSignal);
     }
     return true;
   }
@@ -143,8 +143,8 @@
   }
 
   #query(): TargetQuery {
-    const { service, model, homeRegions: homes } = this.#context;
-    return { service, model, homeRegions: homes.current(), exclude: this.#attemptLog.tried };
+    const { service, model, homeRegions } = this.#context;
+    return { service, model, homeRegions: homeRegions.current(), exclude: this.#attemptLog.tried };
   }
 
   // Resolves when an attempt completes the stream, or when none is running any more. While an attempt is stalled, a
--- a/packages/entry/src/requests/wait-for-target.ts
+++ b/packages/entry/src/requests/wait-for-target.ts
@@ -54,17 +54,17 @@
 
 /** True if the request keeps waiting. */
 export function shouldWaitForTarget(outlook: TargetAvailability, waiter: WaitingRequest): boolean {
-  const { waitedMs: lackingMs, formingForMs, leftMs, begun } = waiter;
+  const { waitedMs, formingForMs, leftMs, begun } = waiter;
   const runnableMs = leftMs - MIN_RUN_MS;
   if (runnableMs <= 0) {
     return false;
   }
-  const { statuses: standings, formingMs, backoffMs } = outlook;
-  const allTried = standings.length > 0 && standings.every(standing => standing === 'tried');
+  const { statuses, formingMs, backoffMs } = outlook;
+  const allTried = statuses.length > 0 && statuses.every(standing => standing === 'tried');
   if (begun) {
-    return !allTried || formingMs !== undefined || lackingMs < GROUP_REFORM_MS;
+    return !allTried || formingMs !== undefined || waitedMs < GROUP_REFORM_MS;
   }
-  if (standings.includes('eligible')) {
+  if (statuses.includes('eligible')) {
     return true;
   }
   // A formation that has taken longer than the upper bound for its model may never complete.
@@ -72,17 +72,17 @@
   if (formationLeftMs >= 0 && formationLeftMs <= runnableMs) {
     return true;
   }
-  if (backoffMs !== undefined && standings.includes('backing-off')) {
+  if (backoffMs !== undefined && statuses.includes('backing-off')) {
     return backoffMs <= MAX_BACKOFF_FRACTION * runnableMs;
   }
   // A request that was sent to all targets does not wait for changes: the refusal's `Retry-After` says when to retry.
   const isChangeExpected =
-    !allTried && !isExcludedByOperator(standings) && !hasOnlyPacedHosts(standings);
-  return isChangeExpected && lackingMs < CHANGE_PROPAGATION_MS;
+    !allTried && !isExcludedByOperator(statuses) && !hasOnlyPacedHosts(statuses);
+  return isChangeExpected && waitedMs < CHANGE_PROPAGATION_MS;
 }
 
 /** The reason given in the refusal; if several apply, the one that is likely to end first. */
-export function noTargetReason({ statuses: standings }: TargetAvailability): NoTargetReason {
+export function noTargetReason({ statuses }: TargetAvailability): NoTargetReason {
   const reasonsByDuration: readonly Exclude<NoTargetReason, 'no-target' | 'quarantined'>[] = [
     'cold-limit',
     'rate-limit',
@@ -91,7 +91,7 @@
     'outside-home-regions',
     'backing-off',
   ];
-  const firstApplicable = reasonsByDuration.find(reason => standings.includes(reason));
+  const firstApplicable = reasonsByDuration.find(reason => statuses.includes(reason));
   return firstApplicable ?? 'no-target';
 }
 
--- a/packages/entry/src/requests/withheld-send.test.ts
+++ b/packages/entry/src/requests/withheld-send.test.ts
@@ -52,7 +52,7 @@
       const { context, answer } = requestContext('r', { ...route, maxAttempts: 1 });
       await new Relay(context, services).run();
       expect(answer.status).to.equal(200);
-      expect(hosts.map(({ receivedIds: seen }) => seen.length)).to.deep.equal([0, 1]);
+      expect(hosts.map(({ receivedIds }) => receivedIds.length)).to.deep.equal([0, 1]);
       expect(services.activities.isAvoided('h0', monotonicMs())).to.equal(false);
     });
 
@@ -61,7 +61,7 @@
       const { context, answer } = requestContext('r', route);
       await new Relay(context, services).run();
       expect(answer.status).to.equal(503);
-      expect(hosts.map(({ receivedIds: seen }) => seen.length)).to.deep.equal([0, 0]);
+      expect(hosts.map(({ receivedIds }) => receivedIds.length)).to.deep.equal([0, 0]);
     });
   }
 });
--- a/packages/entry/src/routing/host-notices.ts
+++ b/packages/entry/src/routing/host-notices.ts
@@ -146,12 +146,12 @@
     if (this.#leaving.has(host)) {
       return;
     }
-    const { log, counters, onHostLeaving: leaves, onReportNeeded: reported, now } = this.#options;
+    const { log, counters, onHostLeaving, onReportNeeded, now } = this.#options;
     this.#sequence += 1;
     this.#leaving.set(host, { host, since: now(), sequence: this.#sequence });
     counters.count('hosts_leaving_total');
     log.info('host is leaving', { host: id, source });
-    leaves(host);
-    reported();
+    onHostLeaving(host);
+    onReportNeeded();
   }
 }
--- a/packages/entry/src/routing/send-rules.ts
+++ b/packages/entry/src/routing/send-rules.ts
@@ -45,12 +45,12 @@
   readonly choiceFacts: SendChoiceFacts;
 
   constructor(options: SendRulesOptions) {
-    const { settings, members, slowStartOf, onHostLeaving: leaves, log, metrics } = options;
+    const { settings, members, slowStartOf, onHostLeaving, log, metrics } = options;
     const { name, bounds, regions } = settings();
     const { counters, gauges } = metrics;
     const reported = options.onLeavingReport;
     this.notices = new HostNotices({
-      onHostLeaving: leaves,
+      onHostLeaving,
       onReportNeeded: reported,
       log,
       counters,
--- a/packages/entry/src/routing/target-chooser.ts
+++ b/packages/entry/src/routing/target-chooser.ts
@@ -274,12 +274,12 @@
   // The allowances of limited hosts go first to the requests that have waited for them.
   #verdict(
     host: HostEntry,
-    { homeRegions, skipsLimitedHosts: leavesPaced }: TargetQuery,
+    { homeRegions, skipsLimitedHosts }: TargetQuery,
     now: number,
   ): Eligibility {
     const { eligibility, paceOf } = this.#options;
     const verdict = eligibility(host, homeRegions, now);
-    const skipsPaced = leavesPaced === true && verdict === 'eligible';
+    const skipsPaced = skipsLimitedHosts === true && verdict === 'eligible';
     return skipsPaced && paceOf?.(host, now) !== undefined ? 'rate-limit' : verdict;
   }
 
--- a/packages/entry/src/routing/target-status.test.ts
+++ b/packages/entry/src/routing/target-status.test.ts
@@ -63,8 +63,8 @@
       head('y', 'b', 'joining'),
       head('z', 'b', 'ready'),
     ];
-    const { statuses: standings, formingMs } = chooserOf(...hosts).availability(query);
-    expect(standings).to.deep.equal([]);
+    const { statuses, formingMs } = chooserOf(...hosts).availability(query);
+    expect(statuses).to.deep.equal([]);
     expect(formingMs).to.be.within(1, 1_000);
     const [evacuatedHead] = hosts;
     expect(chooserOf(evacuatedHead as HostEntry).availability(query).formingMs).to.equal(undefined);
--- a/packages/entry/src/slow-start/cold-hosts.ts
+++ b/packages/entry/src/slow-start/cold-hosts.ts
@@ -64,11 +64,11 @@
   }
 
   /** Applies the changes of one answer of the store or a peer; `now` in monotonic milliseconds. */
-  applyBatch({ applied: taken, departed }: HostBatch, now: number): void {
+  applyBatch({ applied, departed }: HostBatch, now: number): void {
     departed.forEach(entry => {
       this.#removeHost(entry);
     });
-    const cold = taken.filter(one => this.#applyEntry(one, now));
+    const cold = applied.filter(one => this.#applyEntry(one, now));
     this.#logCold(cold, now);
   }
 
--- a/packages/entry/src/slow-start/cold-sends.ts
+++ b/packages/entry/src/slow-start/cold-sends.ts
@@ -30,17 +30,10 @@
 
 /** Decides when this entry host may send a request to a cold host. */
 export class ColdSends extends PacedSends {
-  constructor({
-    self,
-    members,
-    coldPeriodOf: spellOf,
-    slowStartOf,
-    bounds,
-    counters,
-  }: ColdSendsOptions) {
+  constructor({ self, members, coldPeriodOf, slowStartOf, bounds, counters }: ColdSendsOptions) {
     const boundOf = (host: HostEntry, now: number): SendBound | undefined => {
       const slowStart = slowStartOf(host.service);
-      const period = slowStart && spellOf(host, now);
+      const period = slowStart && coldPeriodOf(host, now);
       return period && { ...period, limit: coldRateLimit(slowStart.requestsPerSecond, bounds()) };
     };
     const taken = ({ service }: HostEntry): void => {
--- a/packages/entry/src/slow-start/cold-simulation.test.ts
+++ b/packages/entry/src/slow-start/cold-simulation.test.ts
@@ -87,13 +87,9 @@
 
   for (const members of [5, 6, 9, 13, 30, 90, 300]) {
     it(`receive most of their rate from ${members} entry hosts that agree and have enough to send`, () => {
-      const { minRate: leastRate } = simulateColdHosts(
-        { ...FAULTLESS, members },
-        TYPICAL,
-        divisionByOwners(),
-      );
+      const { minRate } = simulateColdHosts({ ...FAULTLESS, members }, TYPICAL, divisionByOwners());
       // Less than the rate, since the first interval and `MEMBERS_SETTLE_MS` are part of the minute.
-      expect(leastRate).to.be.at.least(0.8 * 14 * ((SCENARIO_MS - 3_000) / SCENARIO_MS));
+      expect(minRate).to.be.at.least(0.8 * 14 * ((SCENARIO_MS - 3_000) / SCENARIO_MS));
     });
   }
 
@@ -103,12 +99,12 @@
 
   it('would receive too much if each entry host had an equal share: all may send at the same moment', () => {
     expect(exceedsBound(EQUAL_SHARES)).to.equal(true);
-    const { maxPerSecond: mostInSecond } = simulateColdHosts(
+    const { maxPerSecond } = simulateColdHosts(
       { ...FAULTLESS, demand: 'bursts' },
       TYPICAL,
       EQUAL_SHARES,
     );
-    expect(mostInSecond).to.equal(90);
+    expect(maxPerSecond).to.equal(90);
   });
 
   it('receive no more than the bound from three owners, while at most three members are not known', () => {
--- a/packages/gateway/src/domain/controller-task.ts
+++ b/packages/gateway/src/domain/controller-task.ts
@@ -134,15 +134,7 @@
   }
 
   #request(): PollRequest {
-    const {
-      instance,
-      failureDomain,
-      holder,
-      directory,
-      address,
-      isLeaving: leaving,
-      usage,
-    } = this.#options;
+    const { instance, failureDomain, holder, directory, address, isLeaving, usage } = this.#options;
     return {
       instance,
       address: address(),
@@ -152,7 +144,7 @@
       configuration: this.#sendConfiguration ? holder.current : undefined,
       views: directory.versions(),
       cacheFrom: this.#options.cacheFrom(),
-      leaving: leaving(),
+      leaving: isLeaving(),
       usage: usage(),
     };
   }
--- a/packages/gateway/src/domain/fallback-task.ts
+++ b/packages/gateway/src/domain/fallback-task.ts
@@ -60,10 +60,10 @@
 
   /** Starts to check whether the fallback is needed. */
   start(): void {
-    const { probeMs, hasCertifyingController: led } = this.#options;
+    const { probeMs, hasCertifyingController } = this.#options;
     this.run(async () => {
       while (!this.stopped) {
-        if (led()) {
+        if (hasCertifyingController()) {
           await this.#deactivate();
         } else {
           this.#refresh();
