--- a/packages/entry/src/groups/order-guard.test.ts
+++ b/packages/entry/src/groups/order-guard.test.ts
@@ -111,8 +111,7 @@
         });
         const follower = member('b', 1, 'ready');
         const order: HostOrder = { ...JOIN, epoch } as HostOrder;
-        const allowed =
-          refuseOrder(follower, order, viewOf([follower], { known: known })) === undefined;
+        const allowed = refuseOrder(follower, order, viewOf([follower], { known })) === undefined;
         const isReleased = knownHead.left;
         expect(allowed).to.equal(isReleased && epoch > 1);
       }),
--- a/packages/entry/src/hosts/host-registry.ts
+++ b/packages/entry/src/hosts/host-registry.ts
@@ -145,7 +145,7 @@
     const departed = removedIds.flatMap(id => this.#remove(id));
     const applied = this.#applyAll(list.objects, departed);
     this.#isListed = true;
-    this.#finishBatch({ applied: applied, departed });
+    this.#finishBatch({ applied, departed });
   }
 
   /**
@@ -162,7 +162,7 @@
         applied.push(...this.#applyAll([object], departed));
       }
     }
-    this.#finishBatch({ applied: applied, departed });
+    this.#finishBatch({ applied, departed });
   }
 
   // A host whose entry can no longer be parsed is treated as removed: no new requests are sent to it, and those in
--- a/packages/entry/src/requests/attempt-log.ts
+++ b/packages/entry/src/requests/attempt-log.ts
@@ -77,7 +77,7 @@
 
   /** True if the request may be sent once more, without regard to the budget. */
   canRetry(): boolean {
-    const { callerSignal: callerSignal, deadline, route, isQuarantined } = this.#context;
+    const { callerSignal, deadline, route, isQuarantined } = this.#context;
     if (callerSignal.aborted || isQuarantined() || deadline - monotonicMs() < MIN_REMAINING_MS) {
       return false;
     }
--- a/packages/entry/src/requests/await-target.ts
+++ b/packages/entry/src/requests/await-target.ts
@@ -33,7 +33,7 @@
   context: RequestContext,
   query: () => TargetQuery,
 ): Promise<Target | NoTarget> {
-  const { callerSignal: callerSignal, deadline, route } = context;
+  const { callerSignal, deadline, route } = context;
   const wait = new WaitTimer(context);
   const isTrial = context.isQuarantined() && (await services.quarantine.claimTrial(context));
   // Requests that already wait for a paced host are served first.
@@ -55,7 +55,7 @@
       const until = deadline - route.objectiveMs;
       const paced = await awaitPacedTarget(services, query, {
         latestSendAt: until,
-        callerSignal: callerSignal,
+        callerSignal,
       });
       if (!isTrial && context.isQuarantined()) {
         return quarantinedResult(services);
@@ -107,7 +107,7 @@
    * than planned, and a request sent after its time limit has passed would not be ended by that limit.
    */
   get mayClaim(): boolean {
-    const { callerSignal: callerSignal, deadline } = this.#context;
+    const { callerSignal, deadline } = this.#context;
     const hasTime = !this.#hasWaited || deadline - monotonicMs() >= MIN_RUN_MS;
     return !callerSignal.aborted && hasTime;
   }
--- a/packages/entry/src/requests/paced-wait.ts
+++ b/packages/entry/src/requests/paced-wait.ts
@@ -27,7 +27,7 @@
 export async function awaitPacedTarget(
   services: RelayServices,
   query: () => TargetQuery,
-  { latestSendAt, callerSignal: callerSignal }: PacedWait,
+  { latestSendAt, callerSignal }: PacedWait,
 ): Promise<Target | undefined> {
   const { chooser, pacedQueues } = services;
   const initialQuery = query();
--- a/packages/entry/src/requests/request-intake.ts
+++ b/packages/entry/src/requests/request-intake.ts
@@ -111,7 +111,7 @@
       response,
       body,
       arrivedAt,
-      callerSignal: callerSignal,
+      callerSignal,
     });
   }
 
--- a/packages/entry/src/routing/target-chooser.ts
+++ b/packages/entry/src/routing/target-chooser.ts
@@ -196,7 +196,7 @@
     const { engine } = service;
     const groups = engine === undefined ? [] : this.groupsOf(service.name);
     return {
-      statuses: statuses,
+      statuses,
       formingMs: engine === undefined ? undefined : formingMs(groups, engine, model, mayReceive),
       backoffMs: this.#backoffMs(verdicts, now),
     };
--- a/packages/entry/src/store/followed-kinds.ts
+++ b/packages/entry/src/store/followed-kinds.ts
@@ -140,7 +140,7 @@
 
   /** Follows all kinds until it is stopped. */
   start(): void {
-    const { log, whenPeersKnown: whenPeersKnown } = this.#options;
+    const { log, whenPeersKnown } = this.#options;
     for (const [kind, watch] of this.#watches) {
       const waitsForPeers = kind === OBJECT_KINDS.hosts || isUrgent(kind);
       const ready = waitsForPeers ? whenPeersKnown() : Promise.resolve();
@@ -205,15 +205,7 @@
   kind: ObjectKind,
   observer: KindObserver,
   timing: KindTiming,
-  {
-    readers,
-    followsStore,
-    firstReader,
-    hostsView,
-    holdsLease: holdsLease,
-    log,
-    metrics,
-  }: FollowedKindsOptions,
+  { readers, followsStore, firstReader, hostsView, holdsLease, log, metrics }: FollowedKindsOptions,
 ): WatchedKind {
   return new WatchedKind({
     readers,
